--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/exceptions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/exceptions.py
@@ -68,7 +68,7 @@
     """New connections to the upstream are not answered either: cut off, or its host is gone."""
 
 
-class UpstreamDied(UpstreamError):
+class UpstreamCrashed(UpstreamError):
     """The upstream's process ended under a running attempt."""
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -14,7 +14,7 @@
     ReportInvalid,
     StreamBroken,
     StreamSilent,
-    UpstreamDied,
+    UpstreamCrashed,
     UpstreamError,
     UpstreamUnreachable,
 )
@@ -226,7 +226,7 @@
         """Raise when a new connection shows that the engine is dead or out of reach."""
         match self._parts.client.probe(engine):
             case Probe.REFUSED:
-                raise UpstreamDied(engine.id, error.detail, run=RunState.UNKNOWN)
+                raise UpstreamCrashed(engine.id, error.detail, run=RunState.UNKNOWN)
             case Probe.NO_ANSWER:
                 raise UpstreamUnreachable(engine.id, error.detail, run=RunState.UNKNOWN)
 
@@ -242,16 +242,16 @@
             return error
         if any(r.ready and r.unit == str(self._unit) for r in residents):
             return error
-        return UpstreamDied(engine.id, "was started anew", run=RunState.UNKNOWN)
+        return UpstreamCrashed(engine.id, "was started anew", run=RunState.UNKNOWN)
 
     def _after_failure(self, engine: EngineMember, error: UpstreamError) -> None:
         """Return when another attempt may be made, else raise the final `Refusal`."""
         self._failed.add(engine.id)
         if error.run is not RunState.NOT_RUN:
             self._state = error.run
-        if isinstance(error, UpstreamDied | UpstreamUnreachable) or is_refused(error):
+        if isinstance(error, UpstreamCrashed | UpstreamUnreachable) or is_refused(error):
             self._parts.reachability.failed(engine.id)
-        if isinstance(error, UpstreamDied):
+        if isinstance(error, UpstreamCrashed):
             turn, self._turn = self._turn, None
             self._parts.quarantine.engine_died(self._request.fingerprint, engine.id, turn)
         again = self._may_go_on(error)
@@ -275,7 +275,7 @@
             return False
         # The loss of one engine breaks many answers at once that had been going well;
         # each may continue. It cannot make a storm: a lost engine is met once.
-        lost = isinstance(error, UpstreamDied | UpstreamUnreachable)
+        lost = isinstance(error, UpstreamCrashed | UpstreamUnreachable)
         if lost and self._losses < LOSSES_WITHOUT_BUDGET:
             self._losses += 1
             return True
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_client.py
@@ -7,7 +7,7 @@
     AttemptUnknown,
     StreamBroken,
     StreamSilent,
-    UpstreamDied,
+    UpstreamCrashed,
     UpstreamError,
     UpstreamUnreachable,
 )
@@ -62,7 +62,7 @@
     ) -> EngineStream:
         """Open the rest of an attempt from token ``position`` on a new connection.
 
-        Raises `UpstreamDied` when nothing listens there any more,
+        Raises `UpstreamCrashed` when nothing listens there any more,
         `UpstreamUnreachable`, `AttemptUnknown`, and `StreamBroken` for the rest.
         """
         call = dialects.resume_call(DIALECTS_BY_VENDOR[engine.vendor], attempt_id, position)
@@ -71,7 +71,7 @@
         except StreamBroken:
             raise
         except UpstreamError as error:
-            kind = UpstreamDied if is_refused(error) else UpstreamUnreachable
+            kind = UpstreamCrashed if is_refused(error) else UpstreamUnreachable
             raise kind(engine.id, error.detail, run=RunState.UNKNOWN) from error
         if response.status == OK:
             return EngineStream(engine, attempt_id, response)
