--- a/benchmarks/lib/control_node.py
+++ b/benchmarks/lib/control_node.py
@@ -35,7 +35,7 @@
     """Publishes entries at a rate, as an owner does with the reports of its upstreams."""
 
     def __init__(self, control: Control) -> None:
-        self._board = control.board
+        self._gossip = control.gossip
         self._rate = 0.0
         self._count = 0
         threading.Thread(target=self._run, daemon=True).start()
@@ -49,7 +49,7 @@
             time.sleep(1 / self._rate if self._rate else 0.1)
             if self._rate:
                 self._count += 1
-                self._board.publish("load", "k", bytes(PAYLOAD_BYTES))
+                self._gossip.publish("load", "k", bytes(PAYLOAD_BYTES))
 
 
 def stats(control: Control, observed: Observed) -> dict[str, object]:
@@ -65,7 +65,7 @@
         "frames_received": traffic.frames_received,
         "redials": traffic.redials,
         "links": len(control.mesh.linked()),
-        "entries": len(control.board.known()),
+        "entries": len(control.gossip.stored_entries()),
         "versions": observed.versions,
         "silent": {m.id: control.beats.silent_seconds(m.id) for m in control.members.instances()},
     }
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -18,7 +18,7 @@
 import typer
 from redwingscale_common.configuration import Configuration, load_text
 from redwingscale_daemon._internal.configuration.accepted import Accepted, Pointer
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.report import ResidentUnit
 from redwingscale_daemon._internal.placement.demand import DemandTotals, DemandTracker
 from redwingscale_daemon._internal.placement.engine_room import EngineRoom
@@ -212,9 +212,9 @@
     rng.shuffle(models)
     accepted = Accepted(Pointer(1, "", "", ""), "", configuration)
     total = 0.4 * SLOTS * len(domains) / SERVICE_SECONDS
-    fleet, plan, board = Fleet(domains), EMPTY_PLAN, Board("i0")
-    tracker = DemandTracker("i0", board, lambda: ["i0"])
-    totals = DemandTotals(board, lambda: ["i0"])
+    fleet, plan, gossip = Fleet(domains), EMPTY_PLAN, GossipState("i0")
+    tracker = DemandTracker("i0", gossip, lambda: ["i0"])
+    totals = DemandTotals(gossip, lambda: ["i0"])
     good = asked = 0.0
     moves_before, now = 0, -WARM_UP_SECONDS
     while now < HOURS * 3600:
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -11,7 +11,7 @@
 
 import typer
 from redwingscale_common.configuration import Unit
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.models.member import EngineMember
 from redwingscale_daemon._internal.models.report import Digest, ResidentUnit
@@ -39,13 +39,13 @@
 def _measure(models: int, engines: int) -> dict[str, Any]:
     rng = random.Random(1)
     before = _memory_mb()
-    board = Board("bench")
-    directory = Directory(board)
+    gossip = GossipState("bench")
+    directory = Directory(gossip)
     members = {f"e{n}": _member(n) for n in range(engines)}
     directory.update_members(dict(members))
     digests = _digests(rng, models, engines)
     for digest in digests:
-        board.publish(TOPIC, digest.upstream, digest)
+        gossip.publish(TOPIC, digest.upstream, digest)
     after = _memory_mb()
     list_of_members = Members(None)  # type: ignore[arg-type]
     router = Router("a", directory, list_of_members, InFlight(), rng)
@@ -57,7 +57,7 @@
         "engines": engines,
         "route_us": _mean_us(lambda n: router.route(units[n], prompt)),
         "spans_us": _mean_us(lambda n: _spans(tracing)),
-        "digest_us": _mean_us(lambda n: _tell(board, digests[n % engines], n)),
+        "digest_us": _mean_us(lambda n: _tell(gossip, digests[n % engines], n)),
         "directory_mb": round(after - before, 2),
     }
 
@@ -78,8 +78,8 @@
     ]
 
 
-def _tell(board: Board, digest: Digest, number: int) -> None:
-    board.publish(TOPIC, digest.upstream, digest._replace(running=number % 32))
+def _tell(gossip: GossipState, digest: Digest, number: int) -> None:
+    gossip.publish(TOPIC, digest.upstream, digest._replace(running=number % 32))
 
 
 def _spans(tracing: Tracing) -> None:
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -19,7 +19,7 @@
 import urllib3
 from redwingscale_common.configuration import Unit
 from redwingscale_daemon._internal.exceptions import RedwingscaleError, UpstreamError
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.generation import Attempt
 from redwingscale_daemon._internal.models.member import EngineMember
 from redwingscale_daemon._internal.models.order import Order
@@ -86,8 +86,8 @@
     def __init__(self, domains: str, directory: Path) -> None:
         self.client = EngineClient(2.0, 10.0)
         self.control = EngineControl(2.0)
-        self.board = Board("owner")
-        self.directory = Directory(self.board)
+        self.gossip = GossipState("owner")
+        self.directory = Directory(self.gossip)
         self.members: dict[str, EngineMember] = {}
         self._processes: list[ChildProcess] = []
         for number, domain in enumerate(domains):
@@ -109,7 +109,7 @@
         """Publish each engine's digest, as its owner does."""
         for name, member in self.members.items():
             r = self.control.report(member)
-            self.board.publish(
+            self.gossip.publish(
                 TOPIC,
                 name,
                 Digest(name, 1, False, r.capacity_bytes, r.residents, r.running, r.waiting, SLOTS),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
@@ -9,7 +9,7 @@
 from redwingscale_daemon._internal.configuration.quorum import Quorum
 from redwingscale_daemon._internal.configuration.store import ConfigurationStore
 from redwingscale_daemon._internal.membership.beat_clock import BeatClock
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.link import LinkTiming, Sender
 from redwingscale_daemon._internal.membership.listener import Listener
 from redwingscale_daemon._internal.membership.members import Members
@@ -24,7 +24,7 @@
 class Control(NamedTuple):
     """The parts, not started; ``tasks`` are the threads that drive them."""
 
-    board: Board
+    gossip: GossipState
     beats: PeerBeats
     traffic: Traffic
     listener: Listener
@@ -39,12 +39,12 @@
 def build_control(settings: Settings, platform: Platform) -> Control:
     """Return the parts that ``settings`` describe."""
     me, peers, timing = settings.instance, settings.peers, settings.timing
-    board, beats, traffic = Board(me.id), PeerBeats(), Traffic()
+    gossip, beats, traffic = GossipState(me.id), PeerBeats(), Traffic()
     sender = Sender(
         instance=me.id,
         failure_domain=me.failure_domain,
         key=peers.key.encode(),
-        board=board,
+        gossip=gossip,
         beats=beats,
         clock=BeatClock(),
         traffic=traffic,
@@ -56,10 +56,10 @@
     members.on_change(mesh.update)
 
     store = ConfigurationStore(platform)
-    versions = BoardVersions(board, me.failure_domain)
+    versions = BoardVersions(gossip, me.failure_domain)
     rosters = PeerRosters(me, mesh, members, versions)
     quorum = Quorum(len(peers.seeds), rosters, versions, beats, timing.lease)
-    current = CurrentConfiguration(store, board, versions, PeerTexts(mesh), quorum)
+    current = CurrentConfiguration(store, gossip, versions, PeerTexts(mesh), quorum)
     poll = Periodic("configuration", timing.configuration_poll, current.refresh)
     current.on_wake(poll.wake)
     tasks = [
@@ -67,4 +67,4 @@
         Periodic("mesh", timing.heartbeat, mesh.step),
         poll,
     ]
-    return Control(board, beats, traffic, listener, mesh, members, store, versions, current, tasks)
+    return Control(gossip, beats, traffic, listener, mesh, members, store, versions, current, tasks)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
@@ -54,18 +54,18 @@
 ) -> Engines:
     """Return the parts that ``settings`` describe."""
     me, timing = settings.instance, settings.timing
-    board, beats, members, current = shared.board, shared.beats, shared.members, shared.current
-    directory = Directory(board)
+    gossip, beats, members, current = shared.gossip, shared.beats, shared.members, shared.current
+    directory = Directory(gossip)
     members.on_change(directory.update_members)
 
-    session = Session(platform.table, me.id, board.boot, timing.lease)
+    session = Session(platform.table, me.id, gossip.boot, timing.lease)
     ownership = Ownership(platform.table, session, me.id, timing.lease)
 
     in_flight = InFlight()
     plans = PlanStore(platform)
     engine_control = EngineControl(timing.connect)
-    demand = DemandTracker(me.id, board, lambda: _live_instances(members))
-    totals = DemandTotals(board, lambda: _live_instances(members))
+    demand = DemandTracker(me.id, gossip, lambda: _live_instances(members))
+    totals = DemandTotals(gossip, lambda: _live_instances(members))
     planner = Planner(ownership, plans, current, directory, totals)
     index = PrefixIndex()
     router = Router(
@@ -83,20 +83,20 @@
     moves = MoveHistory(platform.table)
     owner_parts = OwnerParts(
         control=engine_control,
-        board=board,
+        gossip=gossip,
         directory=directory,
         plans=PlanFollower(PlanStore(platform), time.monotonic),
         current=current,
         ownership=ownership,
         intents=IntentStore(platform.table),
-        acks=DrainAcks(me.id, board, members, beats, timing.lease),
+        acks=DrainAcks(me.id, gossip, members, beats, timing.lease),
         metrics=metrics,
         moves=moves,
     )
     owners = Owners(
         me, timing, members, beats, ownership, lambda engine: EngineOwner(engine, owner_parts)
     )
-    drain_reporter = DrainReporter(board, directory, in_flight)
+    drain_reporter = DrainReporter(gossip, directory, in_flight)
     return Engines(
         directory=directory,
         in_flight=in_flight,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/requests.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/requests.py
@@ -67,11 +67,11 @@
 ) -> Requests:
     """Return the parts that ``settings`` describe."""
     me, timing = settings.instance, settings.timing
-    board, beats, members, current = shared.board, shared.beats, shared.members, shared.current
+    gossip, beats, members, current = shared.gossip, shared.beats, shared.members, shared.current
     readiness = Readiness(current)
     committer = Committer(platform.table)
     settler = Settler(committer, platform.table)
-    claimant = Claimant(me.id, board.boot)
+    claimant = Claimant(me.id, gossip.boot)
     retention = Retention(
         platform.table, claimant, lambda: engines.ownership.try_acquire(SWEEP_LEASE) is not None
     )
@@ -89,7 +89,7 @@
         me, engines.directory, members, engines.in_flight, REPORT_LAG_SECONDS, time.monotonic
     )
     gate = Gate(gate_limits(settings.limits.request_threads), capacity)
-    quarantine = Quarantine(me.id, board, QuarantineStore(platform.table))
+    quarantine = Quarantine(me.id, gossip, QuarantineStore(platform.table))
     # One budget for both relays: it bounds what this instance adds to a failing deployment.
     budget = RetryBudget()
     generation = GenerationRelay(
@@ -106,10 +106,10 @@
             metrics=metrics,
         )
     )
-    states = PlainStates(board, members)
+    states = PlainStates(gossip, members)
     watchers = Watchers(me, members, beats, timing.lease)
     plain_watch = PlainWatch(
-        members, board, watchers.include_me, timing.report_poll, timing.connect
+        members, gossip, watchers.include_me, timing.report_poll, timing.connect
     )
     plain = PlainRelay(
         engines.router,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/root.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/root.py
@@ -84,7 +84,7 @@
         settings.operators.token_sha256,
         configuration,
         view,
-        DrainRequests(me.id, control.board),
+        DrainRequests(me.id, control.gossip),
         engines.moves,
         engines.ownership,
         metrics,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/board_versions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/board_versions.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 
 TOPIC = "configuration"
 KEY = ""
@@ -25,17 +25,17 @@
 class BoardVersions:
     """Publishes this instance's version and reads those of the others."""
 
-    def __init__(self, board: Board, failure_domain: str) -> None:
-        self._board = board
+    def __init__(self, gossip: GossipState, failure_domain: str) -> None:
+        self._gossip = gossip
         self._failure_domain = failure_domain
 
     def publish(self, version: int) -> None:
         """Tell all instances which version is in force here."""
-        self._board.publish(TOPIC, KEY, Told(self._failure_domain, version))
+        self._gossip.publish(TOPIC, KEY, Told(self._failure_domain, version))
 
     def by_instance(self) -> dict[str, Told]:
         """Return what each instance told last; ill-formed entries are left out."""
-        told = {entry.origin: decode_told(entry) for entry in self._board.entries(TOPIC)}
+        told = {entry.origin: decode_told(entry) for entry in self._gossip.entries(TOPIC)}
         return {origin: value for origin, value in told.items() if value is not None}
 
     def versions(self, listed: list[str]) -> dict[str, int]:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
@@ -17,8 +17,8 @@
 from redwingscale_daemon._internal.configuration.quorum import Quorum
 from redwingscale_daemon._internal.configuration.store import ConfigurationStore
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 
 Listener = Callable[[Accepted], None]
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         store: ConfigurationStore,
-        board: Board,
+        gossip: GossipState,
         versions: BoardVersions,
         texts: PeerTexts,
         quorum: Quorum,
@@ -52,7 +52,7 @@
         self._wake: Callable[[], None] = lambda: None
         texts.serve(self._held, self._wake_up)
         quorum.rosters.on_answer(self._wake_up)
-        board.subscribe(TOPIC, self._on_entry)
+        gossip.subscribe(TOPIC, self._on_entry)
 
     def get(self) -> Accepted | None:
         """Return the version in force here; None before the first one."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/board.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/gossip_state.py
@@ -15,7 +15,7 @@
 FORGOTTEN_ORIGINS = 4096
 
 
-class Board:
+class GossipState:
     """Keeps entries, tells subscribers of a topic, and numbers this instance's own."""
 
     def __init__(self, instance: str) -> None:
@@ -62,9 +62,9 @@
 
     def entries(self, topic: str | None = None) -> list[Entry]:
         """Return all entries known, or those of ``topic``."""
-        return [k.entry for k in self.known() if topic is None or k.entry.topic == topic]
+        return [k.entry for k in self.stored_entries() if topic is None or k.entry.topic == topic]
 
-    def known(self) -> list[Known]:
+    def stored_entries(self) -> list[Known]:
         """Return all entries with what is kept beside them."""
         with self._lock:
             return list(self._known.values())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
@@ -10,9 +10,9 @@
 from redwingscale_common.utils.logs import log_event
 
 from redwingscale_daemon._internal.membership.beat_clock import BEATS_PER_SECOND, BeatClock
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry, EntryKey
 from redwingscale_daemon._internal.membership.frame import Frame, encode_frame
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.message import Entries, Hello, Message
 from redwingscale_daemon._internal.membership.peer_beats import PeerBeats, beat_id
 from redwingscale_daemon._internal.membership.summary import SETTLED_SECONDS, root_of
@@ -45,7 +45,7 @@
     instance: str
     failure_domain: str
     key: bytes
-    board: Board
+    gossip: GossipState
     beats: PeerBeats
     clock: BeatClock
     traffic: Traffic
@@ -175,7 +175,7 @@
         settled = 0.0 if self._fresh else SETTLED_SECONDS
         self._fresh = False
         hello = Hello(self._own_url, self._chosen)
-        return [hello, root_of(self._sender.board.known(), settled)]
+        return [hello, root_of(self._sender.gossip.stored_entries(), settled)]
 
     def _send(self, messages: list[Message]) -> None:
         sender = self._sender
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/mesh.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/mesh.py
@@ -61,7 +61,7 @@
         self._direct: dict[str, OnDirect] = {}
         self._ending: list[threading.Thread] = []
         self._stopped = False
-        sender.board.on_forward(self._offer)
+        sender.gossip.on_forward(self._offer)
 
     def update(self, members: dict[str, Member]) -> None:
         """Take a new list of members."""
@@ -87,7 +87,7 @@
             self._link_to(self._wanted())
         listed = set(self._listed_urls)
         if listed:
-            self._sender.board.forget_origins(listed, RETENTION_SECONDS)
+            self._sender.gossip.forget_origins(listed, RETENTION_SECONDS)
             self._sender.beats.forget_silent(listed, RETENTION_SECONDS)
 
     def take(self, frame: Frame) -> None:
@@ -142,7 +142,7 @@
 
     def _take_message(self, frame: Frame, message: Message) -> None:
         peer = frame.sender
-        known = self._sender.board.known
+        known = self._sender.gossip.stored_entries
         match message:
             case Hello():
                 self._take_hello(frame, message)
@@ -167,14 +167,14 @@
 
     def _take_entries(self, peer: str, entries: list[Entry]) -> None:
         for entry in entries:
-            self._sender.board.accept(entry, peer)
+            self._sender.gossip.accept(entry, peer)
         # What the board has just offered to this link as well waits there a moment.
         link = self._links_by_peer.get(peer)
         if link is not None:
             link.received(entries)
 
     def _take_buckets(self, peer: str, theirs: Buckets) -> None:
-        versions = versions_of(self._sender.board.known(), theirs)
+        versions = versions_of(self._sender.gossip.stored_entries(), theirs)
         if versions is not None:
             self._answer(peer, versions)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/demand.py
@@ -9,8 +9,8 @@
 import msgspec
 from redwingscale_common.utils.digests import rendezvous_order
 
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.placement.model_number import model_number
 
 TOPIC = "demand"
@@ -39,10 +39,12 @@
     scales the sum up, as the balancer spreads callers over all instances alike.
     """
 
-    def __init__(self, instance: str, board: Board, instances: Callable[[], Iterable[str]]) -> None:
+    def __init__(
+        self, instance: str, gossip: GossipState, instances: Callable[[], Iterable[str]]
+    ) -> None:
         self._lock = threading.Lock()
         self._instance = instance
-        self._board = board
+        self._gossip = gossip
         self._instances = instances
         self._arrivals: Counter[str] = Counter()
         self._rates: dict[str, float] = {}
@@ -67,7 +69,7 @@
         table = self._table()
         if table != self._told:
             self._told, self._told_at = table, now
-            self._board.publish(TOPIC, KEY, DemandTable(table))
+            self._gossip.publish(TOPIC, KEY, DemandTable(table))
 
     def _update(self, now: float) -> None:
         with self._lock:
@@ -95,10 +97,10 @@
 class DemandTotals:
     """The sum of what all instances tell, by model number."""
 
-    def __init__(self, board: Board, instances: Callable[[], Iterable[str]]) -> None:
+    def __init__(self, gossip: GossipState, instances: Callable[[], Iterable[str]]) -> None:
         self._tables_by_origin: dict[str, DemandTable] = {}
         self._instances = instances
-        board.subscribe(TOPIC, self._on_entry)
+        gossip.subscribe(TOPIC, self._on_entry)
 
     def rates_by_number(self) -> dict[int, float]:
         """Return requests a second; instances that are gone or tell nothing are scaled for."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_acks.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_acks.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.membership.peer_beats import PeerBeats
 from redwingscale_daemon._internal.placement.drain_ack import TOPIC, DrainAck, RetirementMark
@@ -17,14 +17,19 @@
     """Newest `DrainAck` by instance and engine."""
 
     def __init__(
-        self, instance: str, board: Board, members: Members, beats: PeerBeats, lease_seconds: float
+        self,
+        instance: str,
+        gossip: GossipState,
+        members: Members,
+        beats: PeerBeats,
+        lease_seconds: float,
     ) -> None:
         self._instance = instance
         self._members = members
         self._beats = beats
         self._lease_seconds = lease_seconds
         self._acks_by_instance: dict[str, dict[str, DrainAck]] = {}
-        board.subscribe(TOPIC, self._on_entry)
+        gossip.subscribe(TOPIC, self._on_entry)
 
     def all_done(self, engine: str, unit: str, since: RetirementMark, waited: float) -> bool:
         """Return whether no instance routes to or runs ``unit`` on ``engine`` any more.
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_reporter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_reporter.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.report import Digest
 from redwingscale_daemon._internal.placement.drain_ack import KEY, TOPIC, DrainAck, RetirementMark
 from redwingscale_daemon._internal.upstreams.directory import TOPIC as DIGEST_TOPIC
@@ -32,19 +32,19 @@
 
     def __init__(
         self,
-        board: Board,
+        gossip: GossipState,
         directory: Directory,
         in_flight: InFlight,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._board = board
+        self._gossip = gossip
         self._directory = directory
         self._in_flight = in_flight
         self._clock = clock
         self._changed: set[str] = set()
         self._heard_by_engine: dict[str, _Heard] = {}
         self._published: list[DrainAck] = []
-        board.subscribe(DIGEST_TOPIC, lambda entry: self._changed.add(entry.key))
+        gossip.subscribe(DIGEST_TOPIC, lambda entry: self._changed.add(entry.key))
 
     def step(self) -> None:
         """Look at the engines that retire units, and at those with news."""
@@ -54,7 +54,7 @@
         self._heard_by_engine = {a.upstream: self._heard_by_engine[a.upstream] for a in acks}
         if acks != self._published:
             self._published = acks
-            self._board.publish(TOPIC, KEY, acks)
+            self._gossip.publish(TOPIC, KEY, acks)
 
     def _digest(self, engine: str) -> Digest | None:
         view = self._directory.engines().get(engine)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
@@ -120,7 +120,7 @@
         # Told through the news as well: the first sound report after it differs from
         # it, so the engine is back at once and not only with the next refresh.
         self._news.take(aside)
-        self._parts.board.publish(TOPIC, self._engine, aside)
+        self._parts.gossip.publish(TOPIC, self._engine, aside)
 
     def _publish(self, grant: Grant, report: Report) -> None:
         digest = Digest(
@@ -136,7 +136,7 @@
             retirement=self._retirements.number,
         )
         if self._news.take(digest):
-            self._parts.board.publish(TOPIC, self._engine, digest)
+            self._parts.gossip.publish(TOPIC, self._engine, digest)
 
     def _order(self, engine: EngineMember, grant: Grant, report: Report, polled_at: float) -> bool:
         try:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner_parts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner_parts.py
@@ -5,7 +5,7 @@
 from redwingscale_daemon._internal.configuration.current import CurrentConfiguration
 from redwingscale_daemon._internal.leases.clock import Clock, lease_clock
 from redwingscale_daemon._internal.leases.ownership import Ownership
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.placement.drain_acks import DrainAcks
 from redwingscale_daemon._internal.placement.intents import IntentStore
 from redwingscale_daemon._internal.placement.move_history import MoveHistory
@@ -19,7 +19,7 @@
     """Wired once by the composition root."""
 
     control: EngineControl
-    board: Board
+    gossip: GossipState
     directory: Directory
     plans: PlanFollower
     current: CurrentConfiguration
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
@@ -9,8 +9,8 @@
 from redwingscale_common.utils.logs import log_event
 
 from redwingscale_daemon._internal.exceptions import Refusal
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.run_state import RunState
 from redwingscale_daemon._internal.quarantine.record import (
     CLAIM_PHASES,
@@ -47,15 +47,15 @@
     at a time on an engine, a second death has one possible cause.
     """
 
-    def __init__(self, instance: str, board: Board, store: QuarantineStore) -> None:
+    def __init__(self, instance: str, gossip: GossipState, store: QuarantineStore) -> None:
         self._changed = threading.Condition()
         self._instance = instance
-        self._board = board
+        self._gossip = gossip
         self._store = store
         self._records: dict[RecordKey, SeenRecord] = {}
         self._quarantined: dict[str, Quarantined] = {}
-        board.subscribe(TOPIC, self._on_entry)
-        board.subscribe(QUARANTINE_TOPIC, self._on_quarantine)
+        gossip.subscribe(TOPIC, self._on_entry)
+        gossip.subscribe(QUARANTINE_TOPIC, self._on_quarantine)
 
     def refresh(self) -> None:
         """Take what the platform's table holds; raise `PlatformError`."""
@@ -137,7 +137,7 @@
         quarantine = StoredQuarantine(fingerprint, QUARANTINE_SECONDS, died)
         # By a key of its own: a slot that is used again at once would replace it
         # while a link still holds it back.
-        self._board.publish(QUARANTINE_TOPIC, fingerprint, quarantine)
+        self._gossip.publish(QUARANTINE_TOPIC, fingerprint, quarantine)
         self._store.keep(quarantine)
         raise _refusal(QUARANTINE_SECONDS)
 
@@ -202,7 +202,7 @@
 
     def _tell(self, key: RecordKey, record: Record) -> None:
         # The board calls `_on_entry` also with what this instance publishes.
-        self._board.publish(TOPIC, str(key.slot), record)
+        self._gossip.publish(TOPIC, str(key.slot), record)
 
     def _on_entry(self, entry: Entry) -> None:
         record = msgspec.msgpack.decode(entry.payload, type=Record)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/directory.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/directory.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.member import EngineMember, Member
 from redwingscale_daemon._internal.models.report import Digest
 
@@ -43,13 +43,13 @@
     makes a new mapping; a digest replaces one value.
     """
 
-    def __init__(self, board: Board) -> None:
+    def __init__(self, gossip: GossipState) -> None:
         self._lock = threading.Lock()
         self._members: dict[str, EngineMember] = {}
         self._digests: dict[str, tuple[Digest, float]] = {}
         self._engines_by_id: dict[str, EngineView] = {}
         self._ready_by_unit: dict[str, list[str]] = {}
-        board.subscribe(TOPIC, self._on_entry)
+        gossip.subscribe(TOPIC, self._on_entry)
 
     def update_members(self, members: dict[str, Member]) -> None:
         """Take the engines of a new list."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_state.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_state.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.models.member import PlainMember
 
@@ -24,11 +24,11 @@
 class PlainStates:
     """The newest state of each plain upstream that this instance heard of."""
 
-    def __init__(self, board: Board, members: Members) -> None:
+    def __init__(self, gossip: GossipState, members: Members) -> None:
         self._members = members
         self._lock = threading.Lock()
         self._states_by_id: dict[str, PlainState] = {}
-        board.subscribe(TOPIC, self._on_entry)
+        gossip.subscribe(TOPIC, self._on_entry)
 
     def leaving(self, service: str) -> list[str]:
         """Return the ids of the upstreams of ``service`` that said that they leave."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_watch.py
@@ -8,7 +8,7 @@
 from redwingscale_common.network.client import new_pool, timeout
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.models.member import PlainMember
 from redwingscale_daemon._internal.upstreams.plain_state import TOPIC, PlainState
@@ -32,13 +32,13 @@
     def __init__(
         self,
         members: Members,
-        board: Board,
+        gossip: GossipState,
         falls_here: Callable[[PlainMember], bool],
         poll_seconds: float,
         connect_seconds: float,
     ) -> None:
         self._members = members
-        self._board = board
+        self._gossip = gossip
         self._falls_here = falls_here
         self._poll_seconds = poll_seconds
         self._timeout = timeout(connect_seconds, READ_SECONDS)
@@ -99,4 +99,4 @@
         if state.leaving and state != told:
             log_event("upstream_leaving", upstream=state.upstream, sign="its own state")
         self._told_by_id[state.upstream] = (state, now)
-        self._board.publish(TOPIC, state.upstream, state)
+        self._gossip.publish(TOPIC, state.upstream, state)
--- a/packages/redwingscale-daemon/tests/unit/control/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/control/conftest.py
@@ -86,7 +86,7 @@
         return self.control.beats.silent_seconds(peer) < seconds
 
     def knows(self, origin, key):
-        entries = self.control.board.entries("test")
+        entries = self.control.gossip.entries("test")
         return any(e.origin == origin and e.key == key for e in entries)
 
 
--- a/packages/redwingscale-daemon/tests/unit/control/test_configuration_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_configuration_spread.py
@@ -125,7 +125,7 @@
 
     node.control.current.take(held._replace(pointer=old))
     peer.control.versions.publish(1)
-    node.control.board.accept(peer.control.board.entries("configuration")[0], "b")
+    node.control.gossip.accept(peer.control.gossip.entries("configuration")[0], "b")
     node.control.current.refresh()
 
     assert node.control.current.get() is held
@@ -172,8 +172,8 @@
     wait_for(lambda: not a.hears("b") and not b.hears("a"), "cut")
 
     apply(2)
-    a.control.board.publish("test", "of a", 1)
-    b.control.board.publish("test", "of b", 1)
+    a.control.gossip.publish("test", "of a", 1)
+    b.control.gossip.publish("test", "of b", 1)
     wait_for(lambda: version(b) == 2, "b has version 2")
     assert version(a) == 1
     assert not b.knows("a", "of a")
--- a/packages/redwingscale-daemon/tests/unit/control/test_membership.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_membership.py
@@ -5,9 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from redwingscale_daemon._internal.membership.beat_clock import BeatClock
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry
 from redwingscale_daemon._internal.membership.frame import Frame, encode_frame
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.message import Hello
 from redwingscale_daemon._internal.membership.neighbourhood import build_neighbourhood
 from redwingscale_daemon._internal.membership.peer_beats import PeerBeats, beat_id
@@ -92,7 +92,7 @@
     for node in nodes:
         node.run()
 
-    nodes[0].control.board.publish("test", "k", 1)
+    nodes[0].control.gossip.publish("test", "k", 1)
 
     wait_for(lambda: all(n.knows(nodes[0].name, "k") for n in nodes), "the entry is everywhere")
 
@@ -110,7 +110,7 @@
     wait_for(lambda: b.hears("a") and a.hears("b"), "both hear each other")
 
     relay.silence()
-    a.control.board.publish("test", "lost", 1)
+    a.control.gossip.publish("test", "lost", 1)
 
     wait_for(lambda: b.knows("a", "lost"), "the entry arrives over a new connection")
     assert relay.accepted > 1
@@ -150,7 +150,7 @@
 
     again = make_node("b", seeds=[a.url], listed=False)
     again.run()
-    a.control.board.publish("test", "later", 1)
+    a.control.gossip.publish("test", "later", 1)
 
     wait_for(lambda: a.hears("b") and again.hears("a"), "both hear each other")
     wait_for(lambda: again.knows("a", "later"), "entries reach it")
@@ -204,10 +204,10 @@
     a, b = make_node("a"), make_node("b")
     a.run()
     b.run()
-    a.control.board.publish("configuration", "", "not what is expected")
-    b.control.board.subscribe("test", lambda entry: 1 / 0)
-    a.control.board.publish("test", "k", 1)
-    a.control.board.publish("test", "after", 1)
+    a.control.gossip.publish("configuration", "", "not what is expected")
+    b.control.gossip.subscribe("test", lambda entry: 1 / 0)
+    a.control.gossip.publish("test", "k", 1)
+    a.control.gossip.publish("test", "after", 1)
 
     wait_for(lambda: b.knows("a", "after"), "later entries arrive")
 
@@ -246,13 +246,13 @@
     As above, for entries: what it publishes would be refused as older than
     what its former life told, and the old word would stand.
     """
-    board = Board("a")
-    board.publish("test", "k", "new")
-    former = Entry("a", "test", "k", board.boot + 10**6, 99, b"\xa3old")
+    gossip = GossipState("a")
+    gossip.publish("test", "k", "new")
+    former = Entry("a", "test", "k", gossip.boot + 10**6, 99, b"\xa3old")
 
-    board.accept(former, "b")
+    gossip.accept(former, "b")
 
-    entry = board.entries("test")[0]
+    entry = gossip.entries("test")[0]
     assert entry.payload == b"\xa3new"
     assert entry.is_newer_than(former)
 
@@ -263,12 +263,12 @@
     An instance left. Its entries must not stay in memory for ever, and a peer
     that drops them later must not bring them back.
     """
-    board = Board("a")
+    gossip = GossipState("a")
     entry = Entry("gone", "test", "k", 5, 1, b"\x01")
-    board.accept(entry, "b")
+    gossip.accept(entry, "b")
 
-    board.forget_origins({"gone"} if listed else set(), seconds=-1.0)
-    board.accept(entry, "b")
+    gossip.forget_origins({"gone"} if listed else set(), seconds=-1.0)
+    gossip.accept(entry, "b")
 
-    assert board.entries("test") == ([entry] if listed else [])
-    assert board.accept(entry._replace(boot=6), "b")
+    assert gossip.entries("test") == ([entry] if listed else [])
+    assert gossip.accept(entry._replace(boot=6), "b")
--- a/packages/redwingscale-daemon/tests/unit/placement/test_demand.py
+++ b/packages/redwingscale-daemon/tests/unit/placement/test_demand.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.placement.demand import (
     HALF_LIFE_SECONDS,
     MOST_MODELS_TOLD,
@@ -15,15 +15,15 @@
 PAYLOAD_LIMIT_BYTES = 256
 
 
-def _run(instances: int, rate: int, models: int = 1) -> tuple[Board, DemandTotals]:
+def _run(instances: int, rate: int, models: int = 1) -> tuple[GossipState, DemandTotals]:
     """Let each instance see ``rate`` requests a second for each model for ten minutes."""
     names = [f"i{n}" for n in range(instances)]
-    planner = Board("planner")
+    planner = GossipState("planner")
     totals = DemandTotals(planner, lambda: names)
     for name in names:
-        board = Board(name)
-        board.on_forward(planner.accept)
-        tracker = DemandTracker(name, board, lambda: names)
+        gossip = GossipState(name)
+        gossip.on_forward(planner.accept)
+        tracker = DemandTracker(name, gossip, lambda: names)
         for second in range(0, 600, 10):
             for _ in range(rate * 10 if second else 0):
                 for model in range(models):
@@ -54,10 +54,10 @@
 
 
 def test_steady_demand_is_told_no_more():
-    board = Board("i0")
+    gossip = GossipState("i0")
     told = []
-    board.subscribe("demand", lambda entry: told.append(second))
-    tracker = DemandTracker("i0", board, lambda: ["i0"])
+    gossip.subscribe("demand", lambda entry: told.append(second))
+    tracker = DemandTracker("i0", gossip, lambda: ["i0"])
     for second in range(0, 1800, 10):
         for _ in range(90 + second % 40):
             tracker.arrived("m0")
--- a/packages/redwingscale-daemon/tests/unit/relay/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/relay/conftest.py
@@ -13,8 +13,8 @@
 from opentelemetry.trace import INVALID_SPAN
 from redwingscale_common.configuration import Unit
 from redwingscale_common.network.server import HttpServer, ServerLimits
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.generation import (
     EndEvent,
     GenerationRequest,
@@ -197,18 +197,18 @@
 def make_quarantines() -> Iterator[Callable[[int], list[Quarantine]]]:
     """Build the quarantines of instances that tell each other everything."""
     entries: queue.Queue[Entry | None] = queue.Queue()
-    boards: list[Board] = []
+    gossip_states: list[GossipState] = []
 
     def carry() -> None:
         for entry in iter(entries.get, None):
-            for board in boards:
-                board.accept(entry)
+            for gossip in gossip_states:
+                gossip.accept(entry)
 
     def make(count: int) -> list[Quarantine]:
-        boards.extend(Board(f"instance-{number}") for number in range(count))
-        for board in boards:
-            board.on_forward(lambda entry, *_: entries.put(entry))
-        return [Quarantine(f"instance-{n}", b, NoStore()) for n, b in enumerate(boards)]
+        gossip_states.extend(GossipState(f"instance-{number}") for number in range(count))
+        for gossip in gossip_states:
+            gossip.on_forward(lambda entry, *_: entries.put(entry))
+        return [Quarantine(f"instance-{n}", b, NoStore()) for n, b in enumerate(gossip_states)]
 
     carrier = threading.Thread(target=carry, daemon=True)
     carrier.start()
@@ -231,7 +231,7 @@
             reachability=Reachability(),
             budget=RetryBudget(),
             silence=SilenceBounds(LEAST_SILENCE, 2.0),
-            quarantine=quarantine or Quarantine("test", Board("test"), NoStore()),
+            quarantine=quarantine or Quarantine("test", GossipState("test"), NoStore()),
             tracing=tracing,
             metrics=metrics,
         )
--- a/packages/redwingscale-daemon/tests/unit/routing/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/routing/conftest.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.cache_event import CacheEvent
 from redwingscale_daemon._internal.models.member import EngineMember
 from redwingscale_daemon._internal.models.report import Digest, ResidentUnit
@@ -20,8 +20,8 @@
     """Tells digests of engines; ``report`` replaces what was told of one."""
 
     def __init__(self) -> None:
-        self.board = Board("owner")
-        self.directory = Directory(self.board)
+        self.gossip = GossipState("owner")
+        self.directory = Directory(self.gossip)
         self._members: dict[str, Any] = {}
 
     def add(self, engine: str, domain: str, *units: str, leaving: bool = False) -> None:
@@ -35,7 +35,7 @@
     ) -> None:
         residents = tuple(ResidentUnit(u, 1, ready) for u in units)
         digest = Digest(engine, 1, leaving, 100, residents, running, 0, SLOTS)
-        self.board.publish("digest", engine, digest)
+        self.gossip.publish("digest", engine, digest)
 
     def age(self, engine: str, seconds: float) -> None:
         """Let the digest of ``engine`` be ``seconds`` old."""
--- a/packages/redwingscale-daemon/tests/unit/test_claims.py
+++ b/packages/redwingscale-daemon/tests/unit/test_claims.py
@@ -17,7 +17,7 @@
 from redwingscale_daemon._internal.idempotency.outcome import Answer, OutcomeStore
 from redwingscale_daemon._internal.idempotency.retention import BUCKET_SECONDS, Retention
 from redwingscale_daemon._internal.idempotency.settler import Settler
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.models.generation import EndEvent, TokenEvent
 from redwingscale_daemon._internal.models.member import PlainMember
@@ -72,7 +72,7 @@
             OneUpstream(plain_url),
             PlainClient(1.0),
             InFlight(),
-            PlainStates(Board(name), Members(None)),
+            PlainStates(GossipState(name), Members(None)),
             self.once,
             RetryBudget(),
             Tracing(name, ""),
--- a/packages/redwingscale-daemon/tests/unit/test_drains.py
+++ b/packages/redwingscale-daemon/tests/unit/test_drains.py
@@ -1,7 +1,7 @@
 """Units that retire: no new requests, and no unload before the last one has ended."""
 
 import pytest
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.membership.peer_beats import PeerBeats
 from redwingscale_daemon._internal.models.member import EngineMember, InstanceMember
@@ -22,19 +22,19 @@
 
     def __init__(self):
         self.clock = FakeClock()
-        self.boards = [Board("i1"), Board("i2")]
-        self.boards[0].on_forward(lambda entry, *_: self.boards[1].accept(entry))
-        self.boards[1].on_forward(lambda entry, *_: self.boards[0].accept(entry))
-        self.directories = [Directory(board) for board in self.boards]
-        self.in_flight = [InFlight(self.clock.read) for _ in self.boards]
+        self.gossip_states = [GossipState("i1"), GossipState("i2")]
+        self.gossip_states[0].on_forward(lambda entry, *_: self.gossip_states[1].accept(entry))
+        self.gossip_states[1].on_forward(lambda entry, *_: self.gossip_states[0].accept(entry))
+        self.directories = [Directory(gossip) for gossip in self.gossip_states]
+        self.in_flight = [InFlight(self.clock.read) for _ in self.gossip_states]
         self.reporters = [
             DrainReporter(*parts, self.clock.read)
-            for parts in zip(self.boards, self.directories, self.in_flight, strict=True)
+            for parts in zip(self.gossip_states, self.directories, self.in_flight, strict=True)
         ]
         members = Members(None)
         urls = ("", "", "")
         members.by_id = {i: InstanceMember(i, "a", "r", False, *urls) for i in ("i1", "i2")}
-        self.acks = DrainAcks("i1", self.boards[0], members, PeerBeats(), lease_seconds=3.0)
+        self.acks = DrainAcks("i1", self.gossip_states[0], members, PeerBeats(), lease_seconds=3.0)
         self.retirements = Retirements("e1", self.acks, self.clock.read)
         for directory in self.directories:
             directory.update_members({"e1": ENGINE})
@@ -45,7 +45,7 @@
         residents = tuple(ResidentUnit(unit, 1, True) for unit in UNITS)
         retired = (self.retirements.units, self.retirements.number)
         digest = Digest("e1", fence, False, 10, residents, 0, 0, 8, *retired)
-        self.boards[0].publish(TOPIC, "e1", digest)
+        self.gossip_states[0].publish(TOPIC, "e1", digest)
 
     def report(self, seconds=1.0):
         for _ in range(2):
@@ -117,7 +117,7 @@
 
 def test_dead_instance_is_waited_for_two_leases(scene):
     """A plan is stuck for good behind an instance that died but is still listed."""
-    scene.boards[1]._forward.clear()
+    scene.gossip_states[1]._forward.clear()
     scene.retire({"m@v1"}, fence=1)
     scene.report(5.0)
     assert scene.retirements.drained() == set()
--- a/packages/redwingscale-daemon/tests/unit/test_replacements.py
+++ b/packages/redwingscale-daemon/tests/unit/test_replacements.py
@@ -1,6 +1,6 @@
 """What may leave an engine while the plan is stuck."""
 
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.member import EngineMember
 from redwingscale_daemon._internal.models.report import Digest, ResidentUnit
 from redwingscale_daemon._internal.placement.plan import Plan, PlannedUnit
@@ -18,14 +18,14 @@
     a while e1 gives up what it holds. Only the unit that e2 answers too may go, and
     the old version whose successor waits for its room.
     """
-    board = Board("i1")
-    directory = Directory(board)
+    gossip = GossipState("i1")
+    directory = Directory(gossip)
     directory.update_members(
         {e: EngineMember(e, "a", False, "http://x", "alder", 1, True, 5.0) for e in UNITS_BY_ENGINE}
     )
     for engine, units in UNITS_BY_ENGINE.items():
         residents = tuple(ResidentUnit(unit, 1, True) for unit in units)
-        board.publish(TOPIC, engine, Digest(engine, 1, False, 10, residents, 0, 0, 8))
+        gossip.publish(TOPIC, engine, Digest(engine, 1, False, 10, residents, 0, 0, 8))
     planned = [PlannedUnit("last@v1", 1), PlannedUnit("spare@v1", 1)]
     plan = Plan(1, 1, {"e1": [PlannedUnit("old@v2", 1)], "e3": planned})
     replacements = Replacements(directory)
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/owner.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/owner.py
@@ -7,7 +7,7 @@
 from redwingscale_daemon._internal.leases.clock import Clock
 from redwingscale_daemon._internal.leases.ownership import Ownership
 from redwingscale_daemon._internal.leases.session import Session
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.member import EngineMember
 from redwingscale_daemon._internal.placement.intents import IntentStore
 from redwingscale_daemon._internal.placement.move_history import MoveHistory
@@ -37,15 +37,15 @@
 
     def __init__(self, engine: str, wiring: OwnerWiring) -> None:
         clock, table, lease = wiring.clock, wiring.table, wiring.lease_seconds
-        board = Board(wiring.instance)
+        gossip = GossipState(wiring.instance)
         policy = SimpleNamespace(cache_share=wiring.cache_share)
         accepted = SimpleNamespace(configuration=SimpleNamespace(policy=policy))
         self.session = Session(table, wiring.instance, wiring.boot, lease, clock)
         self.ownership = Ownership(table, self.session, wiring.instance, lease, clock)
         parts = OwnerParts(
             control=wiring.control,
-            board=board,
-            directory=Directory(board),
+            gossip=gossip,
+            directory=Directory(gossip),
             plans=cast(Any, SimpleNamespace(latest=wiring.plan)),
             current=cast(Any, SimpleNamespace(get=lambda: accepted)),
             ownership=self.ownership,
