--- a/benchmarks/lib/control_node.py
+++ b/benchmarks/lib/control_node.py
@@ -67,7 +67,9 @@
         "links": len(control.mesh.linked()),
         "entries": len(control.gossip.stored_entries()),
         "versions": observed.versions,
-        "silent": {m.id: control.beats.silent_seconds(m.id) for m in control.members.instances()},
+        "silent": {
+            m.id: control.heartbeats.silent_seconds(m.id) for m in control.members.instances()
+        },
     }
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
@@ -14,7 +14,7 @@
 from redwingscale_daemon._internal.membership.listener import Listener
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.membership.mesh import Mesh
-from redwingscale_daemon._internal.membership.peer_beats import PeerBeats
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 from redwingscale_daemon._internal.membership.traffic import Traffic
 from redwingscale_daemon._internal.settings.settings import Settings
 from redwingscale_daemon._internal.store.store import Platform
@@ -25,7 +25,7 @@
     """The parts, not started; ``tasks`` are the threads that drive them."""
 
     gossip: GossipState
-    beats: PeerBeats
+    heartbeats: PeerHeartbeats
     traffic: Traffic
     listener: Listener
     mesh: Mesh
@@ -39,13 +39,13 @@
 def build_control(settings: Settings, platform: Platform) -> Control:
     """Return the parts that ``settings`` describe."""
     me, peers, timing = settings.instance, settings.peers, settings.timing
-    gossip, beats, traffic = GossipState(me.id), PeerBeats(), Traffic()
+    gossip, heartbeats, traffic = GossipState(me.id), PeerHeartbeats(), Traffic()
     sender = Sender(
         instance=me.id,
         failure_domain=me.failure_domain,
         key=peers.key.encode(),
         gossip=gossip,
-        beats=beats,
+        heartbeats=heartbeats,
         clock=BeatClock(),
         traffic=traffic,
         timing=LinkTiming(timing.heartbeat, timing.full_cycle),
@@ -58,7 +58,7 @@
     store = ConfigurationStore(platform)
     versions = BoardVersions(gossip, me.failure_domain)
     rosters = PeerRosters(me, mesh, members, versions)
-    quorum = Quorum(len(peers.seeds), rosters, versions, beats, timing.lease)
+    quorum = Quorum(len(peers.seeds), rosters, versions, heartbeats, timing.lease)
     current = CurrentConfiguration(store, gossip, versions, PeerTexts(mesh), quorum)
     poll = Periodic("configuration", timing.configuration_poll, current.refresh)
     current.on_wake(poll.wake)
@@ -67,4 +67,6 @@
         Periodic("mesh", timing.heartbeat, mesh.step),
         poll,
     ]
-    return Control(gossip, beats, traffic, listener, mesh, members, store, versions, current, tasks)
+    return Control(
+        gossip, heartbeats, traffic, listener, mesh, members, store, versions, current, tasks
+    )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
@@ -54,7 +54,12 @@
 ) -> Engines:
     """Return the parts that ``settings`` describe."""
     me, timing = settings.instance, settings.timing
-    gossip, beats, members, current = shared.gossip, shared.beats, shared.members, shared.current
+    gossip, heartbeats, members, current = (
+        shared.gossip,
+        shared.heartbeats,
+        shared.members,
+        shared.current,
+    )
     directory = Directory(gossip)
     members.on_change(directory.update_members)
 
@@ -89,12 +94,12 @@
         current=current,
         ownership=ownership,
         intents=IntentStore(platform.table),
-        acks=DrainAcks(me.id, gossip, members, beats, timing.lease),
+        acks=DrainAcks(me.id, gossip, members, heartbeats, timing.lease),
         metrics=metrics,
         moves=moves,
     )
     owners = Owners(
-        me, timing, members, beats, ownership, lambda engine: EngineOwner(engine, owner_parts)
+        me, timing, members, heartbeats, ownership, lambda engine: EngineOwner(engine, owner_parts)
     )
     drain_reporter = DrainReporter(gossip, directory, in_flight)
     return Engines(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/requests.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/requests.py
@@ -67,7 +67,12 @@
 ) -> Requests:
     """Return the parts that ``settings`` describe."""
     me, timing = settings.instance, settings.timing
-    gossip, beats, members, current = shared.gossip, shared.beats, shared.members, shared.current
+    gossip, heartbeats, members, current = (
+        shared.gossip,
+        shared.heartbeats,
+        shared.members,
+        shared.current,
+    )
     readiness = Readiness(current)
     committer = Committer(platform.table)
     settler = Settler(committer, platform.table)
@@ -107,7 +112,7 @@
         )
     )
     states = PlainStates(gossip, members)
-    watchers = Watchers(me, members, beats, timing.lease)
+    watchers = Watchers(me, members, heartbeats, timing.lease)
     plain_watch = PlainWatch(
         members, gossip, watchers.include_me, timing.report_poll, timing.connect
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/root.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/root.py
@@ -73,7 +73,7 @@
         requests.readiness,
         engines.session,
         control.members,
-        control.beats,
+        control.heartbeats,
         engines.directory,
         engines.in_flight,
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/quorum.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/quorum.py
@@ -4,7 +4,7 @@
 
 from redwingscale_daemon._internal.configuration.board_versions import BoardVersions
 from redwingscale_daemon._internal.configuration.peer_rosters import PeerRosters
-from redwingscale_daemon._internal.membership.peer_beats import PeerBeats
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 
 
 class Count(NamedTuple):
@@ -32,12 +32,12 @@
         seeds: int,
         rosters: PeerRosters,
         versions: BoardVersions,
-        beats: PeerBeats,
+        heartbeats: PeerHeartbeats,
         silence_seconds: float,
     ) -> None:
         self._seeds = seeds
         self._versions = versions
-        self._beats = beats
+        self._heartbeats = heartbeats
         self._silence_seconds = silence_seconds
         self.rosters = rosters
 
@@ -52,4 +52,4 @@
         return Count(len(heard), needed, highest, enough)
 
     def _is_live(self, peer: str) -> bool:
-        return self._beats.silent_seconds(peer) < self._silence_seconds
+        return self._heartbeats.silent_seconds(peer) < self._silence_seconds
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/frame.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/frame.py
@@ -21,7 +21,7 @@
 
     ``beat`` is the sender's own heartbeat, which only rises. ``heard`` is the
     last beat of the receiver that reached the sender directly: it acknowledges
-    the link in the other direction. ``beats`` relays the heartbeats of other
+    the link in the other direction. ``heartbeats`` relays the heartbeats of other
     instances of the sender's failure domain as (beat id, beat).
     """
 
@@ -29,7 +29,7 @@
     failure_domain: str
     beat: int
     heard: int
-    beats: list[tuple[int, int]] = []
+    heartbeats: list[tuple[int, int]] = []
     messages: list[Message] = []
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
@@ -14,7 +14,7 @@
 from redwingscale_daemon._internal.membership.frame import Frame, encode_frame
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.message import Entries, Hello, Message
-from redwingscale_daemon._internal.membership.peer_beats import PeerBeats, beat_id
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, beat_id
 from redwingscale_daemon._internal.membership.summary import SETTLED_SECONDS, root_of
 from redwingscale_daemon._internal.membership.traffic import Traffic
 from redwingscale_daemon._internal.utils.periodic import Periodic
@@ -46,7 +46,7 @@
     failure_domain: str
     key: bytes
     gossip: GossipState
-    beats: PeerBeats
+    heartbeats: PeerHeartbeats
     clock: BeatClock
     traffic: Traffic
     timing: LinkTiming
@@ -126,9 +126,9 @@
                 if waiting is not None and not waiting.is_newer_than(entry):
                     del self._pending[entry.entry_key]
 
-    def received_beats(self, beats: Iterable[tuple[int, int]]) -> None:
+    def received_beats(self, heartbeats: Iterable[tuple[int, int]]) -> None:
         """Do not relay back beats that the peer has just relayed."""
-        for key, beat in beats:
+        for key, beat in heartbeats:
             self._beats_shared[key] = max(beat, self._beats_shared.get(key, 0))
 
     def acknowledge(self, beat: int) -> None:
@@ -183,7 +183,7 @@
             sender.instance,
             sender.failure_domain,
             sender.clock.now(),
-            sender.beats.heard(self.peer),
+            sender.heartbeats.latest(self.peer),
             self._due_beats() if self._inside else [],
             messages,
         )
@@ -208,7 +208,7 @@
         shared = self._beats_shared
         due = [
             (key, beat)
-            for key, beat in self._sender.beats.relayed()
+            for key, beat in self._sender.heartbeats.relayed()
             if beat >= shared.get(key, 0) + step and key not in own
         ]
         shared.update(due)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/mesh.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/mesh.py
@@ -88,7 +88,7 @@
         listed = set(self._listed_urls)
         if listed:
             self._sender.gossip.forget_origins(listed, RETENTION_SECONDS)
-            self._sender.beats.forget_silent(listed, RETENTION_SECONDS)
+            self._sender.heartbeats.forget_silent(listed, RETENTION_SECONDS)
 
     def take(self, frame: Frame) -> None:
         """Take a frame of a peer; raise `FrameRejected` for a replayed one."""
@@ -96,14 +96,14 @@
         inside = frame.failure_domain == sender.failure_domain
         if frame.sender == sender.instance:
             raise FrameRejected("the sender bears this instance's own id")
-        if not sender.beats.hear(frame.sender, frame.beat, inside=inside):
+        if not sender.heartbeats.receive(frame.sender, frame.beat, inside=inside):
             raise FrameRejected(f"replayed frame of {frame.sender}")
         sender.clock.raise_above(frame.heard)
         link = self._links_by_peer.get(frame.sender)
         if link is not None:
             link.acknowledge(frame.heard)
         if inside:
-            self._take_beats(frame.beats, link)
+            self._take_beats(frame.heartbeats, link)
         for message in frame.messages:
             self._take_message(frame, message)
 
@@ -135,10 +135,10 @@
         for thread in ending:
             thread.join()
 
-    def _take_beats(self, beats: list[tuple[int, int]], link: Link | None) -> None:
-        self._sender.beats.relay(beats)
+    def _take_beats(self, heartbeats: list[tuple[int, int]], link: Link | None) -> None:
+        self._sender.heartbeats.relay(heartbeats)
         if link is not None:
-            link.received_beats(beats)
+            link.received_beats(heartbeats)
 
     def _take_message(self, frame: Frame, message: Message) -> None:
         peer = frame.sender
@@ -235,7 +235,7 @@
         return self._told_urls.get(peer, known)
 
     def _is_dead(self, peer: str) -> bool:
-        silent = self._sender.beats.silent_seconds(peer)
+        silent = self._sender.heartbeats.silent_seconds(peer)
         limit = DEAD_HEARTBEATS * self._sender.timing.heartbeat
         # Beats across failure domains come only over links, so silence tells nothing there.
         return limit < silent < float("inf") and self._neighbourhood.is_inside(peer)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/peer_beats.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/peer_heartbeats.py
@@ -21,7 +21,7 @@
     at: float
 
 
-class PeerBeats:
+class PeerHeartbeats:
     """Newest heartbeat of each peer, heard directly or relayed by others.
 
     Only a beat that is higher than all before counts: a frame that is late,
@@ -34,7 +34,7 @@
         self._direct_by_peer: dict[str, _Heard] = {}
         self._relayed_ids: set[int] = set()
 
-    def hear(self, peer: str, beat: int, *, inside: bool) -> bool:
+    def receive(self, peer: str, beat: int, *, inside: bool) -> bool:
         """Take a beat that ``peer`` sent itself; return False for a replayed one.
 
         ``inside`` tells whether the peer is of the own failure domain; only
@@ -51,16 +51,16 @@
                 self._relayed_ids.add(beat_id(peer))
             return True
 
-    def relay(self, beats: list[tuple[int, int]]) -> None:
+    def relay(self, heartbeats: list[tuple[int, int]]) -> None:
         """Take beats of the own failure domain that a peer relayed."""
         with self._lock:
-            for peer_id, beat in beats:
+            for peer_id, beat in heartbeats:
                 # A first sight may be the last beat of a peer that died long ago: only a
                 # beat that rises while this instance listens shows that the peer lives.
                 self._raise(peer_id, beat, NEVER)
                 self._relayed_ids.add(peer_id)
 
-    def heard(self, peer: str) -> int:
+    def latest(self, peer: str) -> int:
         """Return the last beat that came from ``peer`` directly; 0 for none."""
         known = self._direct_by_peer.get(peer)
         return known.beat if known else 0
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/state_view.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/state_view.py
@@ -6,7 +6,7 @@
 from redwingscale_daemon._internal.leases.session import Session
 from redwingscale_daemon._internal.lifecycle.readiness import Readiness
 from redwingscale_daemon._internal.membership.members import Members
-from redwingscale_daemon._internal.membership.peer_beats import PeerBeats
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 from redwingscale_daemon._internal.settings.settings import InstanceSettings
 from redwingscale_daemon._internal.upstreams.directory import Directory, EngineView
 from redwingscale_daemon._internal.upstreams.in_flight import InFlight
@@ -22,7 +22,7 @@
         readiness: Readiness,
         session: Session,
         members: Members,
-        beats: PeerBeats,
+        heartbeats: PeerHeartbeats,
         directory: Directory,
         in_flight: InFlight,
     ) -> None:
@@ -31,7 +31,7 @@
         self._readiness = readiness
         self._session = session
         self._members = members
-        self._beats = beats
+        self._heartbeats = heartbeats
         self._directory = directory
         self._in_flight = in_flight
 
@@ -45,7 +45,9 @@
             "open_requests": self._readiness.open_requests,
             "configuration_version": accepted.pointer.version if accepted else 0,
             "session_valid": self._session.is_valid(),
-            "peers": {m.id: self._beats.silent_seconds(m.id) for m in self._members.instances()},
+            "peers": {
+                m.id: self._heartbeats.silent_seconds(m.id) for m in self._members.instances()
+            },
         }
 
     def models(self) -> dict[str, Any]:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_acks.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_acks.py
@@ -5,7 +5,7 @@
 from redwingscale_daemon._internal.membership.entry import Entry
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.members import Members
-from redwingscale_daemon._internal.membership.peer_beats import PeerBeats
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 from redwingscale_daemon._internal.placement.drain_ack import TOPIC, DrainAck, RetirementMark
 
 # An instance that is alive but not linked is heard through others within seconds; one
@@ -21,12 +21,12 @@
         instance: str,
         gossip: GossipState,
         members: Members,
-        beats: PeerBeats,
+        heartbeats: PeerHeartbeats,
         lease_seconds: float,
     ) -> None:
         self._instance = instance
         self._members = members
-        self._beats = beats
+        self._heartbeats = heartbeats
         self._lease_seconds = lease_seconds
         self._acks_by_instance: dict[str, dict[str, DrainAck]] = {}
         gossip.subscribe(TOPIC, self._on_entry)
@@ -50,7 +50,7 @@
     def _is_silent(self, instance: str, waited: float) -> bool:
         if instance == self._instance or waited < SILENT_LEASES * self._lease_seconds:
             return False
-        return self._beats.silent_seconds(instance) > self._lease_seconds
+        return self._heartbeats.silent_seconds(instance) > self._lease_seconds
 
     def _on_entry(self, entry: Entry) -> None:
         acks = msgspec.msgpack.decode(entry.payload, type=list[DrainAck])
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owners.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owners.py
@@ -9,7 +9,7 @@
 
 from redwingscale_daemon._internal.leases.ownership import Ownership
 from redwingscale_daemon._internal.membership.members import Members
-from redwingscale_daemon._internal.membership.peer_beats import PeerBeats
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 from redwingscale_daemon._internal.models.member import EngineMember
 from redwingscale_daemon._internal.placement.owner import EngineOwner
 from redwingscale_daemon._internal.settings.settings import InstanceSettings, Timing
@@ -33,14 +33,14 @@
         instance: InstanceSettings,
         timing: Timing,
         members: Members,
-        beats: PeerBeats,
+        heartbeats: PeerHeartbeats,
         ownership: Ownership,
         make_owner: Callable[[str], EngineOwner],
     ) -> None:
         self._instance = instance
         self._timing = timing
         self._members = members
-        self._beats = beats
+        self._heartbeats = heartbeats
         self._ownership = ownership
         self._make_owner = make_owner
         self._work_by_engine: dict[str, _Work] = {}
@@ -115,4 +115,4 @@
         return rendezvous_order(engine.id, {*alive, self._instance.id})[0] == self._instance.id
 
     def _is_alive(self, peer: str, leaving: bool) -> bool:
-        return not leaving and self._beats.silent_seconds(peer) < self._timing.lease
+        return not leaving and self._heartbeats.silent_seconds(peer) < self._timing.lease
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/watchers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/watchers.py
@@ -3,7 +3,7 @@
 from redwingscale_common.utils.digests import rendezvous_order
 
 from redwingscale_daemon._internal.membership.members import Members
-from redwingscale_daemon._internal.membership.peer_beats import PeerBeats
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 from redwingscale_daemon._internal.models.member import PlainMember
 from redwingscale_daemon._internal.settings.settings import InstanceSettings
 
@@ -18,12 +18,12 @@
         self,
         instance: InstanceSettings,
         members: Members,
-        beats: PeerBeats,
+        heartbeats: PeerHeartbeats,
         silence_seconds: float,
     ) -> None:
         self._instance = instance
         self._members = members
-        self._beats = beats
+        self._heartbeats = heartbeats
         self._silence_seconds = silence_seconds
 
     def include_me(self, upstream: PlainMember) -> bool:
@@ -35,6 +35,8 @@
             for m in self._members.instances()
             if m.failure_domain == upstream.failure_domain and not m.leaving
         ]
-        alive = {m.id for m in near if self._beats.silent_seconds(m.id) < self._silence_seconds}
+        alive = {
+            m.id for m in near if self._heartbeats.silent_seconds(m.id) < self._silence_seconds
+        }
         order = rendezvous_order(upstream.id, {*alive, self._instance.id})
         return self._instance.id in order[:WATCHERS]
--- a/packages/redwingscale-daemon/tests/unit/control/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/control/conftest.py
@@ -83,7 +83,7 @@
         self.control.listener.stop()
 
     def hears(self, peer, seconds=1.0):
-        return self.control.beats.silent_seconds(peer) < seconds
+        return self.control.heartbeats.silent_seconds(peer) < seconds
 
     def knows(self, origin, key):
         entries = self.control.gossip.entries("test")
--- a/packages/redwingscale-daemon/tests/unit/control/test_membership.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_membership.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.message import Hello
 from redwingscale_daemon._internal.membership.neighbourhood import build_neighbourhood
-from redwingscale_daemon._internal.membership.peer_beats import PeerBeats, beat_id
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, beat_id
 from redwingscale_daemon._internal.models.member import InstanceMember
 
 INSTANCES = 9
@@ -217,15 +217,15 @@
     Somebody records frames of an instance and sends them again after it died.
     Its peers would go on waiting for it in place of taking over.
     """
-    beats = PeerBeats()
-    assert beats.hear("b", 5, inside=True)
+    heartbeats = PeerHeartbeats()
+    assert heartbeats.receive("b", 5, inside=True)
 
-    assert not beats.hear("b", 4, inside=True)
-    beats.relay([(beat_id("b"), 5)])
-    heard = beats._heard_by_id[beat_id("b")]
-    beats.hear("b", 5, inside=True)
+    assert not heartbeats.receive("b", 4, inside=True)
+    heartbeats.relay([(beat_id("b"), 5)])
+    heard = heartbeats._heard_by_id[beat_id("b")]
+    heartbeats.receive("b", 5, inside=True)
 
-    assert beats._heard_by_id[beat_id("b")] == heard
+    assert heartbeats._heard_by_id[beat_id("b")] == heard
 
 
 def test_beats_rise_above_those_of_a_former_life_with_a_clock_ahead():
--- a/packages/redwingscale-daemon/tests/unit/test_drains.py
+++ b/packages/redwingscale-daemon/tests/unit/test_drains.py
@@ -3,7 +3,7 @@
 import pytest
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.members import Members
-from redwingscale_daemon._internal.membership.peer_beats import PeerBeats
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 from redwingscale_daemon._internal.models.member import EngineMember, InstanceMember
 from redwingscale_daemon._internal.models.report import Digest, ResidentUnit
 from redwingscale_daemon._internal.placement.drain_acks import DrainAcks
@@ -34,7 +34,9 @@
         members = Members(None)
         urls = ("", "", "")
         members.by_id = {i: InstanceMember(i, "a", "r", False, *urls) for i in ("i1", "i2")}
-        self.acks = DrainAcks("i1", self.gossip_states[0], members, PeerBeats(), lease_seconds=3.0)
+        self.acks = DrainAcks(
+            "i1", self.gossip_states[0], members, PeerHeartbeats(), lease_seconds=3.0
+        )
         self.retirements = Retirements("e1", self.acks, self.clock.read)
         for directory in self.directories:
             directory.update_members({"e1": ENGINE})
