--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
@@ -8,8 +8,8 @@
 from redwingscale_daemon._internal.configuration.peer_texts import PeerTexts
 from redwingscale_daemon._internal.configuration.quorum import Quorum
 from redwingscale_daemon._internal.configuration.store import ConfigurationStore
-from redwingscale_daemon._internal.membership.beat_clock import BeatClock
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
+from redwingscale_daemon._internal.membership.heartbeat_clock import HeartbeatClock
 from redwingscale_daemon._internal.membership.link import LinkTiming, Sender
 from redwingscale_daemon._internal.membership.listener import Listener
 from redwingscale_daemon._internal.membership.members import Members
@@ -46,7 +46,7 @@
         key=peers.key.encode(),
         gossip=gossip,
         heartbeats=heartbeats,
-        clock=BeatClock(),
+        clock=HeartbeatClock(),
         traffic=traffic,
         timing=LinkTiming(timing.heartbeat, timing.full_cycle),
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/beat_clock.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/heartbeat_clock.py
@@ -8,7 +8,7 @@
 EPOCH_SECONDS = 1_735_689_600
 
 
-class BeatClock:
+class HeartbeatClock:
     """A number that rises by `BEATS_PER_SECOND`, also across restarts.
 
     It starts from the wall clock and goes on by the monotonic one, so that a
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
@@ -9,10 +9,13 @@
 from redwingscale_common.utils.digests import rendezvous_score
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.membership.beat_clock import BEATS_PER_SECOND, BeatClock
 from redwingscale_daemon._internal.membership.entry import Entry, EntryKey
 from redwingscale_daemon._internal.membership.frame import Frame, encode_frame
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
+from redwingscale_daemon._internal.membership.heartbeat_clock import (
+    BEATS_PER_SECOND,
+    HeartbeatClock,
+)
 from redwingscale_daemon._internal.membership.message import Entries, Hello, Message
 from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, beat_id
 from redwingscale_daemon._internal.membership.summary import SETTLED_SECONDS, root_of
@@ -47,7 +50,7 @@
     key: bytes
     gossip: GossipState
     heartbeats: PeerHeartbeats
-    clock: BeatClock
+    clock: HeartbeatClock
     traffic: Traffic
     timing: LinkTiming
 
--- a/packages/redwingscale-daemon/tests/unit/control/test_membership.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_membership.py
@@ -4,10 +4,10 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from redwingscale_daemon._internal.membership.beat_clock import BeatClock
 from redwingscale_daemon._internal.membership.entry import Entry
 from redwingscale_daemon._internal.membership.frame import Frame, encode_frame
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
+from redwingscale_daemon._internal.membership.heartbeat_clock import HeartbeatClock
 from redwingscale_daemon._internal.membership.message import Hello
 from redwingscale_daemon._internal.membership.neighbourhood import build_neighbourhood
 from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, beat_id
@@ -233,7 +233,7 @@
     An instance restarts with its clock set back. Peers take its beats for old
     ones and would hold it for dead until the clock catches up.
     """
-    clock = BeatClock()
+    clock = HeartbeatClock()
     former = clock.now() + 36_000
 
     clock.raise_above(former)
