--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.configuration.board_versions import BoardVersions
 from redwingscale_daemon._internal.configuration.current import CurrentConfiguration
 from redwingscale_daemon._internal.configuration.peer_rosters import PeerRosters
 from redwingscale_daemon._internal.configuration.peer_texts import PeerTexts
+from redwingscale_daemon._internal.configuration.peer_versions import PeerVersions
 from redwingscale_daemon._internal.configuration.quorum import Quorum
 from redwingscale_daemon._internal.configuration.store import ConfigurationStore
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
@@ -31,7 +31,7 @@
     mesh: Mesh
     members: Members
     store: ConfigurationStore
-    versions: BoardVersions
+    versions: PeerVersions
     current: CurrentConfiguration
     tasks: list[Periodic]
 
@@ -56,7 +56,7 @@
     members.on_change(mesh.update)
 
     store = ConfigurationStore(platform)
-    versions = BoardVersions(gossip, me.failure_domain)
+    versions = PeerVersions(gossip, me.failure_domain)
     rosters = PeerRosters(me, mesh, members, versions)
     quorum = Quorum(len(peers.seeds), rosters, versions, heartbeats, timing.lease)
     current = CurrentConfiguration(store, gossip, versions, PeerTexts(mesh), quorum)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
@@ -8,12 +8,12 @@
 from redwingscale_common.utils.logs import log_event
 
 from redwingscale_daemon._internal.configuration.accepted import Accepted, Versioned
-from redwingscale_daemon._internal.configuration.board_versions import (
+from redwingscale_daemon._internal.configuration.peer_texts import PeerTexts
+from redwingscale_daemon._internal.configuration.peer_versions import (
     TOPIC,
-    BoardVersions,
+    PeerVersions,
     decode_told,
 )
-from redwingscale_daemon._internal.configuration.peer_texts import PeerTexts
 from redwingscale_daemon._internal.configuration.quorum import Quorum
 from redwingscale_daemon._internal.configuration.store import ConfigurationStore
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
@@ -36,7 +36,7 @@
         self,
         store: ConfigurationStore,
         gossip: GossipState,
-        versions: BoardVersions,
+        versions: PeerVersions,
         texts: PeerTexts,
         quorum: Quorum,
     ) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_rosters.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_rosters.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from redwingscale_daemon._internal.configuration.board_versions import BoardVersions
+from redwingscale_daemon._internal.configuration.peer_versions import PeerVersions
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.membership.mesh import Mesh
 from redwingscale_daemon._internal.settings.settings import InstanceSettings
@@ -21,7 +21,7 @@
     """
 
     def __init__(
-        self, instance: InstanceSettings, mesh: Mesh, members: Members, versions: BoardVersions
+        self, instance: InstanceSettings, mesh: Mesh, members: Members, versions: PeerVersions
     ) -> None:
         self._instance = instance
         self._mesh = mesh
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/board_versions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_versions.py
@@ -22,7 +22,7 @@
     version: int
 
 
-class BoardVersions:
+class PeerVersions:
     """Publishes this instance's version and reads those of the others."""
 
     def __init__(self, gossip: GossipState, failure_domain: str) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/quorum.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/quorum.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.configuration.board_versions import BoardVersions
 from redwingscale_daemon._internal.configuration.peer_rosters import PeerRosters
+from redwingscale_daemon._internal.configuration.peer_versions import PeerVersions
 from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 
 
@@ -31,7 +31,7 @@
         self,
         seeds: int,
         rosters: PeerRosters,
-        versions: BoardVersions,
+        versions: PeerVersions,
         heartbeats: PeerHeartbeats,
         silence_seconds: float,
     ) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
@@ -10,9 +10,9 @@
 from redwingscale_common.utils.logs import log_event
 
 from redwingscale_daemon._internal.configuration.accepted import Pointer, Versioned
-from redwingscale_daemon._internal.configuration.board_versions import BoardVersions
 from redwingscale_daemon._internal.configuration.current import CurrentConfiguration
 from redwingscale_daemon._internal.configuration.memory_fit import MemoryFit, memory_fit
+from redwingscale_daemon._internal.configuration.peer_versions import PeerVersions
 from redwingscale_daemon._internal.configuration.store import ConfigurationStore, Lost, Won
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.upstreams.directory import Directory
@@ -46,7 +46,7 @@
         self,
         store: ConfigurationStore,
         current: CurrentConfiguration,
-        versions: BoardVersions,
+        versions: PeerVersions,
         members: Members,
         directory: Directory,
     ) -> None:
