--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
@@ -83,7 +83,7 @@
         demand=Demand(lambda model: _listed_versions(current, model), demand.arrived),
     )
     cache_poller = CachePoller(
-        members, lambda e: ownership.held(e) is not None, engine_control, CacheFeed(index)
+        members, lambda e: ownership.grant_of(e) is not None, engine_control, CacheFeed(index)
     )
     moves = MoveHistory(platform.table)
     owner_parts = OwnerParts(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/ownership.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/ownership.py
@@ -52,7 +52,7 @@
         rows = self._table.scan(OWNER_PREFIX)
         return {key.removeprefix(OWNER_PREFIX): row.value for key, row in rows.items()}
 
-    def held(self, name: str) -> Grant | None:
+    def grant_of(self, name: str) -> Grant | None:
         """Return the grant of ``name`` if this instance may act on it now."""
         held = self._held_by_name.get(name)
         if held is None or self.remaining_seconds(held.grant) <= 0:
@@ -82,13 +82,13 @@
 
     def try_acquire(self, name: str) -> Grant | None:
         """Take ``name`` if it is free or its holder's session has stopped; else None."""
-        if (grant := self.held(name)) is not None:
+        if (grant := self.grant_of(name)) is not None:
             return grant
         return self._acquire_logged(name)
 
     def raise_fence(self, name: str) -> Grant | None:
         """Replace a held grant of ``name`` by one with a higher fence; None when not held."""
-        if self.held(name) is None:
+        if self.grant_of(name) is None:
             return None
         return self._acquire_logged(name)
 
@@ -156,4 +156,4 @@
         grant = Grant(name, self._instance, self._session.boot, fence)
         self._held_by_name[name] = _Held(grant, outcome.rows[key].version, epoch)
         log_event("ownership_taken", name=name, fence=fence)
-        return self.held(name)
+        return self.grant_of(name)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
@@ -90,7 +90,7 @@
         if report.leaving or engine.leaving:
             return False
         # An engine with fencing is safe with any holder, also while the table is down.
-        return engine.checks_fencing or self._parts.ownership.held(self._engine) == grant
+        return engine.checks_fencing or self._parts.ownership.grant_of(self._engine) == grant
 
     def _poll(self, engine: EngineMember, grant: Grant) -> Report | None:
         try:
--- a/packages/redwingscale-daemon/tests/unit/test_owner_failures.py
+++ b/packages/redwingscale-daemon/tests/unit/test_owner_failures.py
@@ -31,7 +31,7 @@
         return {r.unit for r in self.world.engine.memory.residents()}
 
     def held(self):
-        return [o.ownership.held(ENGINE) is not None for o in self.world.owners]
+        return [o.ownership.grant_of(ENGINE) is not None for o in self.world.owners]
 
 
 @pytest.fixture(params=[True, False], ids=["fencing", "no fencing"])
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/world.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/world.py
@@ -125,7 +125,7 @@
         memory = self.engine.memory
         if memory.peak_bytes > LIMIT_BYTES:
             self.violations.append(f"{memory.peak_bytes} bytes in {LIMIT_BYTES}")
-        holders = [o for o in self.owners if o.ownership.held(ENGINE) is not None]
+        holders = [o for o in self.owners if o.ownership.grant_of(ENGINE) is not None]
         if len(holders) > 1:
             self.violations.append(f"{len(holders)} holders")
         fence = self._fence()
