--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -161,7 +161,7 @@
     wait = HolderWait(
         chooser,
         fleet.changes,
-        fleet.holdings,
+        fleet.residency,
         swaps.needs,
         open_requests,
         fleet.gate,
@@ -199,7 +199,7 @@
     return OwnReports(
         settings.failure_domain,
         fleet.directory,
-        fleet.holdings,
+        fleet.residency,
         reads.upstreams,
         runs_models,
         client.report,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -74,7 +74,7 @@
     gossip = RateLimitGossip(
         fleet.rates,
         questions.known,
-        lambda: not lease.holds and fleet.holdings.age > GIVER_SILENT_SECONDS,
+        lambda: not lease.holds and fleet.residency.age > GIVER_SILENT_SECONDS,
         questions.tell,
     )
     return Peers(desk, questions, (desk, asking, gossip), fetch_told)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -220,7 +220,7 @@
         # The giver's news tell that it is there: its row is read only without them.
         if lease.holds:
             lease.step()
-        elif (not fleet.holdings.fresh or lease.record is None) and lease_retry.due:
+        elif (not fleet.residency.fresh or lease.record is None) and lease_retry.due:
             try:
                 lease.watch(LEASE_WATCH_SECONDS)
             except PlatformError:
@@ -258,7 +258,7 @@
         }
         for entry in news.held
     }
-    take = fleet.holdings.replace if news.all_held else fleet.holdings.update
+    take = fleet.residency.replace if news.all_held else fleet.residency.update
     take(held, news.ready_in, news.fence)
     fleet.rates.hear(news.rate_limits)
     fleet.directory.note_leaving(news.leaving, "order giver")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
@@ -6,12 +6,12 @@
 from redwingscale_daemon._internal.fleet.answer_notices import AnswerNotices
 from redwingscale_daemon._internal.fleet.changes import Changes
 from redwingscale_daemon._internal.fleet.health import Health
-from redwingscale_daemon._internal.fleet.holdings import Holdings
 from redwingscale_daemon._internal.fleet.load_book import LoadBook
 from redwingscale_daemon._internal.fleet.outcomes import Outcomes
 from redwingscale_daemon._internal.fleet.pace import Pace
 from redwingscale_daemon._internal.fleet.prefix_memory import PrefixMemory
 from redwingscale_daemon._internal.fleet.rate_limits import RateLimits
+from redwingscale_daemon._internal.fleet.residency import Residency
 from redwingscale_daemon._internal.fleet.retry_times import RetryTimes
 from redwingscale_daemon._internal.fleet.send_gate import SendGate
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
@@ -21,7 +21,7 @@
     """The directory, and what was learned of the upstreams in it."""
 
     directory: UpstreamDirectory
-    holdings: Holdings
+    residency: Residency
     changes: Changes
     book: LoadBook
     health: Health
@@ -36,17 +36,17 @@
 
 def new_fleet(instance: str = "", instances: Callable[[], int] = lambda: 1) -> Fleet:
     """Return parts of ``instance`` that know nothing yet, and forget what is no longer listed."""
-    changes, holdings, outcomes = Changes(), Holdings(), Outcomes()
-    directory = UpstreamDirectory(holdings, changes)
+    changes, residency, outcomes = Changes(), Residency(), Outcomes()
+    directory = UpstreamDirectory(residency, changes)
     book, health, pace, prefixes = LoadBook(), Health(outcomes), Pace(), PrefixMemory()
     rates = RateLimits(instance, instances, directory.lists)
     retry_times = RetryTimes()
     notices = AnswerNotices(directory, rates, retry_times)
-    for part in (book, health, pace, prefixes, holdings, rates, retry_times):
+    for part in (book, health, pace, prefixes, residency, rates, retry_times):
         directory.on_gone(part.forget)
     return Fleet(
         directory,
-        holdings,
+        residency,
         changes,
         book,
         health,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
@@ -8,7 +8,7 @@
 
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.fleet.holdings import Held, Holdings
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel, Residency
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 
@@ -31,7 +31,7 @@
     """What is used of an upstream's report."""
 
     @property
-    def held(self) -> Held:
+    def held(self) -> AdaptersByModel:
         """Adapters by model."""
 
     @property
@@ -72,7 +72,7 @@
         self,
         failure_domain: str,
         directory: UpstreamDirectory,
-        holdings: Holdings,
+        residency: Residency,
         list_state: ListState,
         runs_models: Callable[[str], bool],
         ask: Callable[[Upstream], Report | None],
@@ -81,7 +81,7 @@
     ) -> None:
         self._failure_domain = failure_domain
         self._directory = directory
-        self._holdings = holdings
+        self._residency = residency
         self._list = list_state
         self._runs_models = runs_models
         self._ask = ask
@@ -119,7 +119,7 @@
     @property
     def giver_silent(self) -> bool:
         """Whether the order giver has told nothing lately."""
-        return self._holdings.age > SILENT_SECONDS
+        return self._residency.age > SILENT_SECONDS
 
     @property
     def domain_cut(self) -> bool:
@@ -139,7 +139,7 @@
         now = time.monotonic()
         for upstream, report in answers:
             if report is not None and report.born == upstream.born:
-                self._holdings.reported(upstream.id, report.held, now)
+                self._residency.reported(upstream.id, report.held, now)
         self._see_domain_cut(self._only_own_domain(answers))
 
     def _end_pool(self) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/upstream_directory.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/upstream_directory.py
@@ -8,9 +8,9 @@
 from redwingscale_common.utils.logs import log_event
 
 from redwingscale_daemon._internal.fleet.changes import Changes
-from redwingscale_daemon._internal.fleet.holdings import Held, Holdings
 from redwingscale_daemon._internal.fleet.leaving_upstreams import LeavingUpstreams
 from redwingscale_daemon._internal.fleet.list_digest import list_digest
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel, Residency
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 
@@ -47,9 +47,9 @@
     the list or its own answers, takes no new work whatever the others say.
     """
 
-    def __init__(self, holdings: Holdings, changes: Changes) -> None:
+    def __init__(self, residency: Residency, changes: Changes) -> None:
         self._lock = threading.Lock()
-        self._holdings = holdings
+        self._residency = residency
         self._changes = changes
         self._copy = ListCopy({}, list_digest(()), 0)
         self._read_at = float("-inf")
@@ -164,11 +164,11 @@
 
     def holders(self, service: str, unit: Unit) -> list[Upstream]:
         """Return the usable upstreams that hold ``unit``."""
-        return [u for u in self.usable(service) if _holds(self.held(u), unit)]
+        return [u for u in self.usable(service) if _holds(self.resident(u), unit)]
 
-    def held(self, upstream: Upstream) -> Held:
+    def resident(self, upstream: Upstream) -> AdaptersByModel:
         """Return the adapters by model of ``upstream``, from the newest source."""
-        told = self._holdings.held(upstream.id, self._read_at)
+        told = self._residency.resident(upstream.id, self._read_at)
         if told is not None:
             return told
         return {model.name: model.adapters for model in upstream.models_by_name.values()}
@@ -190,8 +190,8 @@
     return {upstream.id: upstream for upstream in listed.values()}
 
 
-def _holds(held: Held, unit: Unit) -> bool:
-    adapters = held.get(unit.model)
+def _holds(resident: AdaptersByModel, unit: Unit) -> bool:
+    adapters = resident.get(unit.model)
     return adapters is not None and (not unit.adapter or unit.adapter in adapters)
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -9,8 +9,8 @@
 from redwingscale_daemon._internal.exceptions import Refusal
 from redwingscale_daemon._internal.fleet.changes import Changes
 from redwingscale_daemon._internal.fleet.chooser import Candidate, Chooser
-from redwingscale_daemon._internal.fleet.holdings import Holdings
 from redwingscale_daemon._internal.fleet.prompt import Prompt
+from redwingscale_daemon._internal.fleet.residency import Residency
 from redwingscale_daemon._internal.fleet.send_gate import SendGate
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.forwarding.call import Call
@@ -57,7 +57,7 @@
 
     chooser: Chooser
     changes: Changes
-    holdings: Holdings
+    residency: Residency
     needs: Needs
     open_requests: OpenRequests
     gate: SendGate
@@ -86,7 +86,7 @@
 
     def _check_queue(self, call: Call, prompt: Prompt, held_back: list[str]) -> None:
         """Raise `Refusal` where neither the holders that take none now nor a load serve it in time."""
-        ready_in = self.holdings.ready_in(str(prompt.unit))
+        ready_in = self.residency.ready_in(str(prompt.unit))
         if ready_in is not None and ready_in <= _patience(call):
             return
         if not self.gate.rate_limited(held_back):
@@ -120,7 +120,7 @@
             request=call.terms.request_id,
             unit=prompt.unit,
             patience=round(_patience(call), 3),
-            giver_heard=self.holdings.fresh,
+            giver_heard=self.residency.fresh,
         )
         while True:
             seen = self.changes.count
@@ -155,13 +155,13 @@
             # Nobody hears of the need from here: another instance may be better off.
             raise given_up(call, "cut_off", f"no news of {prompt.unit}", come_back)
         left = _patience(call)
-        ready_in = self.holdings.ready_in(str(prompt.unit))
+        ready_in = self.residency.ready_in(str(prompt.unit))
         held_back = self.chooser.held_back_holders(call.service, prompt, call.attempts.tried)
         if waited > TOLD_LOAD_SECONDS and (ready_in is None or ready_in > left):
             self._check_retry_times(call, prompt, held_back, ready_in)
         if ready_in is not None and not held_back:
             hopeless = ready_in > left
-        elif self.holdings.fresh:
+        elif self.residency.fresh:
             hopeless = left <= 0
         else:
             hopeless = waited > UNTOLD_SECONDS
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/carried_models.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/carried_models.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Collection, Mapping, Sequence
 
-from redwingscale_daemon._internal.fleet.holdings import Held
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
@@ -45,8 +45,11 @@
 
 
 def _carried(
-    held: Held, elsewhere: Collection[str], asked: Callable[[str], float], per_second: float
-) -> Held:
+    held: AdaptersByModel,
+    elsewhere: Collection[str],
+    asked: Callable[[str], float],
+    per_second: float,
+) -> AdaptersByModel:
     left = per_second * CARRIED_PART
     carried = {}
     for name in sorted(held.keys() - elsewhere, key=asked):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/engine_report.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/engine_report.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.fleet.holdings import Held
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.unit import Unit
 
 
@@ -15,7 +15,7 @@
     where the platform doesn't tell.
     """
 
-    held: Held
+    held: AdaptersByModel
     arriving: frozenset[Unit]
     busy: bool
     orders_accepted: int
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/news_due.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/news_due.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Iterable, Mapping
 
-from redwingscale_daemon._internal.fleet.holdings import Held
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.swaps.messages import HeldEntry, StoreNews
 
@@ -43,7 +43,11 @@
         self._newcomer = True
 
     def held(
-        self, held_by_upstream: Mapping[str, Held | None], *, regular: bool, instances: int = 0
+        self,
+        held_by_upstream: Mapping[str, AdaptersByModel | None],
+        *,
+        regular: bool,
+        instances: int = 0,
     ) -> tuple[list[HeldEntry], bool]:
         """Return the entries to tell, and whether they are all there are.
 
@@ -80,7 +84,9 @@
             self._regular_at = now
         return due
 
-    def _note_changes(self, held_by_upstream: Mapping[str, Held | None], now: float) -> None:
+    def _note_changes(
+        self, held_by_upstream: Mapping[str, AdaptersByModel | None], now: float
+    ) -> None:
         entries = {
             key: HeldEntry(key, {name: sorted(adapters) for name, adapters in held.items()})
             for key, held in held_by_upstream.items()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/room.py
@@ -1,11 +1,11 @@
 """What models take of a worker's memory, and how long their loads last."""
 
-from redwingscale_daemon._internal.fleet.holdings import Held
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
 
-def used_mb(engine: EngineRule, held: Held) -> float:
+def used_mb(engine: EngineRule, held: AdaptersByModel) -> float:
     """Return the memory that models and adapters take; unknown models count as the largest."""
     largest = max((rule.weights_mb for rule in engine.models_by_name.values()), default=0.0)
     total = 0.0
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -5,7 +5,7 @@
 
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.fleet.holdings import Held
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
@@ -70,7 +70,9 @@
         )
         return False
 
-    def held(self, going: frozenset[str], going_adapters: frozenset[Unit]) -> Held | None:
+    def held(
+        self, going: frozenset[str], going_adapters: frozenset[Unit]
+    ) -> AdaptersByModel | None:
         """Return what requests may be sent for, None while it isn't known."""
         if self.superseded:
             return {}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -7,7 +7,7 @@
 
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.fleet.holdings import Held
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
@@ -104,7 +104,7 @@
         """Seconds until the model that is being loaded should be there."""
         return max(0.0, self._ready_at - time.monotonic())
 
-    def held(self) -> Held | None:
+    def held(self) -> AdaptersByModel | None:
         """Return what requests may be sent for, None while it isn't known."""
         return self.ledger.held(self._going, self._going_adapters)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable, Iterable
 
-from redwingscale_daemon._internal.fleet.holdings import Held
 from redwingscale_daemon._internal.fleet.load_book import Load
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
 from redwingscale_daemon._internal.swaps.instance_totals import Totals
@@ -57,7 +57,7 @@
         """Let a worker that is free carry out ``task``."""
         self._by_id[upstream_id].give(task)
 
-    def held_by_id(self) -> dict[str, Held | None]:
+    def held_by_id(self) -> dict[str, AdaptersByModel | None]:
         """Return what each worker holds, None where it isn't known."""
         return {key: worker.held() for key, worker in self._by_id.items()}
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_view.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_view.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.fleet.holdings import Held
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 
@@ -16,7 +16,7 @@
     """
 
     upstream: Upstream
-    held: Held
+    held: AdaptersByModel
     free: bool
     loading: str
     settled_at: dict[str, float]
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_own_reports.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_own_reports.py
@@ -61,7 +61,7 @@
 @pytest.fixture
 def own(fleet, reports, list_reads):
     return OwnReports(
-        "here", fleet.directory, fleet.holdings, list_reads, lambda _: True, reports.ask
+        "here", fleet.directory, fleet.residency, list_reads, lambda _: True, reports.ask
     )
 
 
@@ -93,10 +93,10 @@
 
 
 def test_nobody_is_asked_while_the_giver_or_the_list_tells(own, fleet, reports, list_reads):
-    fleet.holdings.replace({"u0": {"a": frozenset()}}, {})
+    fleet.residency.replace({"u0": {"a": frozenset()}}, {})
     own.step()
     assert reports.asked == []
-    fleet.holdings._view = fleet.holdings._view._replace(heard_at=time.monotonic() - 5)
+    fleet.residency._view = fleet.residency._view._replace(received_at=time.monotonic() - 5)
     list_reads.age = 0.3
     own.step()
     assert reports.asked == []
@@ -107,7 +107,7 @@
     # less often there. In each pause of the order giver its age had two hundred instances
     # ask all upstreams for seconds: 45,000 calls, each over a connection of its own.
     own = OwnReports(
-        "here", fleet.directory, fleet.holdings, list_reads, lambda _: True, reports.ask, 4.0
+        "here", fleet.directory, fleet.residency, list_reads, lambda _: True, reports.ask, 4.0
     )
     list_reads.lost, list_reads.age = False, 2.1
     own.step()
@@ -120,7 +120,7 @@
 def test_word_of_the_giver_after_a_report_counts(own, fleet, reports):
     reports.held_by_id = {"u0": ["c"]}
     own.step()
-    fleet.holdings.replace({"u0": {"d": frozenset()}}, {})
+    fleet.residency.replace({"u0": {"d": frozenset()}}, {})
     assert holders(fleet, "d") == ["u0"]
     assert holders(fleet, "c") == []
 
@@ -141,7 +141,7 @@
     assert own.domain_cut
     # At once they would only meet another instance of the same domain.
     assert 1.0 < own.come_back_seconds < 3.0
-    fleet.holdings.replace({}, {})
+    fleet.residency.replace({}, {})
     assert not own.domain_cut
     own.step()
     list_reads.age = 60.0
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_holdings.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_residency.py
@@ -42,14 +42,14 @@
     # that refused them, and refused others for models that were there.
     fleet.directory.replace([upstream("old")])
     later(15.0)
-    fleet.holdings.replace({"u0": {"new": frozenset()}}, {})
+    fleet.residency.replace({"u0": {"new": frozenset()}}, {})
     later(10.0)
     assert holds(fleet, "new")
     assert not holds(fleet, "old")
 
 
 def test_list_read_since_the_giver_fell_silent_counts(fleet, later):
-    fleet.holdings.replace({"u0": {"before": frozenset()}}, {})
+    fleet.residency.replace({"u0": {"before": frozenset()}}, {})
     later(3.0)
     fleet.directory.replace([upstream("listed")])
     assert holds(fleet, "listed")
@@ -57,7 +57,7 @@
 
 
 def test_change_told_by_the_giver_is_no_read_of_the_list(fleet, later):
-    fleet.holdings.replace({"u0": {"told": frozenset()}}, {})
+    fleet.residency.replace({"u0": {"told": frozenset()}}, {})
     later(1.0)
     fleet.directory.update([upstream("stale")], [])
     later(5.0)
--- a/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
@@ -200,7 +200,7 @@
         self.upstreams = []
         self.routes = CurrentRoutes()
         fleet = new_fleet()
-        self.changes, self.holdings = fleet.changes, fleet.holdings
+        self.changes, self.residency = fleet.changes, fleet.residency
         self.directory = fleet.directory
         self.pool = ConnectionPool()
         self.open_requests = OpenRequests()
@@ -228,7 +228,7 @@
         wait = HolderWait(
             chooser,
             self.changes,
-            self.holdings,
+            self.residency,
             self.needs,
             self.open_requests,
             fleet.gate,
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
@@ -94,7 +94,7 @@
 
     def arrives():
         time.sleep(0.2)
-        world.holdings.replace({"u0": {"late": frozenset()}}, {})
+        world.residency.replace({"u0": {"late": frozenset()}}, {})
         world.changes.notify()
 
     threading.Thread(target=arrives).start()
@@ -106,7 +106,7 @@
     # The model is being loaded, but will be there after the caller's deadline: to
     # hold the request until then would only keep the caller from going elsewhere.
     world.add("llm", events(1))
-    world.holdings.replace({"u0": {"m": frozenset()}}, {"late": 60.0})
+    world.residency.replace({"u0": {"m": frozenset()}}, {"late": 60.0})
     started = time.monotonic()
     answer = world.ask("/stream/", model="late")
     assert answer.status == 503
@@ -146,10 +146,10 @@
     world.add("llm", events(*range(1, 6), then="break", gap=0.8))
     caller = world.send("/long/", model="m")
     time.sleep(3.6)
-    world.holdings.replace({"u0": {}}, {})
+    world.residency.replace({"u0": {}}, {})
     time.sleep(0.8)
     world.add("llm", events(6, 7), models=())
-    world.holdings.replace({"u1": {"m": frozenset()}}, {})
+    world.residency.replace({"u1": {"m": frozenset()}}, {})
     world.changes.notify()
     answer = read_answer(caller)
     assert (numbers(answer), answer.whole) == ([1, 2, 3, 4, 5, 6, 7], True)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_giver_news.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_giver_news.py
@@ -106,12 +106,12 @@
     fleet = new_fleet()
     held = [HeldEntry("u0", {"a": []})]
     _take_news(GiverNews("g", 1, held, True, {}, [], 1, NOTHING_READ), [], fleet)
-    before = fleet.holdings._view
+    before = fleet.residency._view
     _take_news(GiverNews("h", 2, [], False, {}, None, 1, NOTHING_READ), [], fleet)
-    assert fleet.holdings._view is before
+    assert fleet.residency._view is before
     _take_news(GiverNews("g", 1, [], False, {}, None, 1, NOTHING_READ), [], fleet)
-    assert fleet.holdings.held("u0") == {"a": frozenset()}
-    assert fleet.holdings._view is not before
+    assert fleet.residency.resident("u0") == {"a": frozenset()}
+    assert fleet.residency._view is not before
 
 
 def test_change_is_told_alone_and_again_for_a_second(monkeypatch):
@@ -151,8 +151,8 @@
     _take_news(GiverNews("g", 1, both, True, {}, [], 1, NOTHING_READ), [], fleet)
     one = [HeldEntry("u1", {"b": ["x"]})]
     _take_news(GiverNews("g", 1, one, False, {}, None, 1, NOTHING_READ), [], fleet)
-    assert fleet.holdings.held("u0") == {"a": frozenset()}
-    assert fleet.holdings.held("u1") == {"b": frozenset({"x"})}
+    assert fleet.residency.resident("u0") == {"a": frozenset()}
+    assert fleet.residency.resident("u1") == {"b": frozenset({"x"})}
 
 
 def test_all_that_is_held_is_told_at_a_pace_that_the_link_carries(monkeypatch):
