--- a/benchmarks/giver_news.py
+++ b/benchmarks/giver_news.py
@@ -66,7 +66,7 @@
     """Return the sizes of the messages, encoded as they are sent."""
     encode = msgspec.msgpack.Encoder().encode
     held = [
-        HeldEntry(view.upstream.id, {name: sorted(one) for name, one in view.held.items()})
+        HeldEntry(view.upstream.id, {name: sorted(one) for name, one in view.resident.items()})
         for view in views
     ]
     loads = [LoadEntry(view.upstream.id, 7, 12_000) for view in views]
@@ -80,7 +80,7 @@
     some = views[:OPEN_EACH]
     needs = [NeedEntry(SERVICE, f"model{n:05}", "", 1, 0, 0.0) for n in range(4)]
     own_loads = [LoadEntry(view.upstream.id, 1, 1800) for view in some]
-    uses = [UseEntry(view.upstream.id, next(iter(view.held)), "a1", 1) for view in some]
+    uses = [UseEntry(view.upstream.id, next(iter(view.resident)), "a1", 1) for view in some]
     return {
         "all_held_bytes": len(encode(giver(held, loads))),
         "regular_bytes": len(encode(giver([], loads))),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
@@ -31,7 +31,7 @@
     """What is used of an upstream's report."""
 
     @property
-    def held(self) -> AdaptersByModel:
+    def resident(self) -> AdaptersByModel:
         """Adapters by model."""
 
     @property
@@ -139,7 +139,7 @@
         now = time.monotonic()
         for upstream, report in answers:
             if report is not None and report.born == upstream.born:
-                self._residency.reported(upstream.id, report.held, now)
+                self._residency.reported(upstream.id, report.resident, now)
         self._see_domain_cut(self._only_own_domain(answers))
 
     def _end_pool(self) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
@@ -41,7 +41,7 @@
     """Return the report in ``document``; raise `msgspec.DecodeError`."""
     report = msgspec.json.decode(document, type=_Report)
     return EngineReport(
-        held={model.name: frozenset(model.adapters) for model in report.models},
+        resident={model.name: frozenset(model.adapters) for model in report.models},
         arriving=frozenset(map(_unit, report.loading)),
         busy=report.busy,
         orders_accepted=report.seq,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_choice.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_choice.py
@@ -19,7 +19,7 @@
         view
         for view in views
         if view.free
-        and unit.model in view.held
+        and unit.model in view.resident
         and len(view.adapters()) - len(view.idle_adapters()) < slots
     ]
     return min(holders, key=lambda view: _adapter_cost(view, slots), default=None)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
@@ -57,7 +57,7 @@
 def _calmer(
     unit: Unit, free: Sequence[WorkerView], views: Sequence[WorkerView], slots: int
 ) -> WorkerView | None:
-    holders = [view for view in views if unit.adapter in view.held.get(unit.model, ())]
+    holders = [view for view in views if unit.adapter in view.resident.get(unit.model, ())]
     if not holders:
         return None
     most = min(view.requests for view in holders) * CALMER_PART
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/carried_models.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/carried_models.py
@@ -27,14 +27,14 @@
     sound = [view for view in views if view.upstream.id not in limits_by_id]
     if not sound:
         return list(views)
-    elsewhere = {name for view in sound for name in [*view.held, view.loading]}
+    elsewhere = {name for view in sound for name in [*view.resident, view.loading]}
     missing = {unit.model for unit in waiting if unit.adapter and not _held(unit, views)}
     limited = [view for view in views if view.upstream.id in limits_by_id]
     return sound + [
         view._replace(
             free=False,
-            held=_carried(
-                {name: held for name, held in view.held.items() if name not in missing},
+            resident=_carried(
+                {name: adapters for name, adapters in view.resident.items() if name not in missing},
                 elsewhere,
                 asked,
                 limits_by_id[view.upstream.id],
@@ -45,20 +45,20 @@
 
 
 def _carried(
-    held: AdaptersByModel,
+    resident: AdaptersByModel,
     elsewhere: Collection[str],
     asked: Callable[[str], float],
     per_second: float,
 ) -> AdaptersByModel:
     left = per_second * CARRIED_PART
     carried = {}
-    for name in sorted(held.keys() - elsewhere, key=asked):
+    for name in sorted(resident.keys() - elsewhere, key=asked):
         left -= asked(name)
         if left < 0:
             break
-        carried[name] = held[name]
+        carried[name] = resident[name]
     return carried
 
 
 def _held(unit: Unit, views: Sequence[WorkerView]) -> bool:
-    return any(unit.adapter in view.held.get(unit.model, ()) for view in views)
+    return any(unit.adapter in view.resident.get(unit.model, ()) for view in views)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/engine_report.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/engine_report.py
@@ -15,7 +15,7 @@
     where the platform doesn't tell.
     """
 
-    held: AdaptersByModel
+    resident: AdaptersByModel
     arriving: frozenset[Unit]
     busy: bool
     orders_accepted: int
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
@@ -74,7 +74,7 @@
         return min(enough, key=lambda choice: choice.loss, default=None)
 
     def _choices(self, view: WorkerView) -> list[Eviction]:
-        names = [name for name in view.held if _may_go(name, view)]
+        names = [name for name in view.resident if _may_go(name, view)]
         losses = {name: self._loss(name, view) for name in names}
         return [
             Eviction(
@@ -88,7 +88,7 @@
         ]
 
     def _room_mb(self, view: WorkerView, out: tuple[str, ...]) -> float:
-        stay = {name: held for name, held in view.held.items() if name not in out}
+        stay = {name: adapters for name, adapters in view.resident.items() if name not in out}
         return self._engine.weights_mb - used_mb(self._engine, stay)
 
     def _loss(self, name: str, view: WorkerView) -> float:
@@ -113,6 +113,6 @@
 def _holder_counts(views: Sequence[WorkerView]) -> dict[str, int]:
     counts: dict[str, int] = {}
     for view in views:
-        for name in [*view.held, *([view.loading] if view.loading else [])]:
+        for name in [*view.resident, *([view.loading] if view.loading else [])]:
             counts[name] = counts.get(name, 0) + 1
     return counts
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -203,11 +203,11 @@
                 continue
             views = self._views(waiting.service)
             model = waiting.unit.model
-            if any(model in view.held for view in views):
+            if any(model in view.resident for view in views):
                 self._demand.missing_seconds(waiting.service, model, held=True)
             if any(_holds(view, waiting.unit) for view in views):
                 continue
-            if any(model in view.held for view in views):
+            if any(model in view.resident for view in views):
                 self._adapters.bring(waiting, engine, views)
         table = self._routes.get()
         for name, service in table.services_by_name.items() if table else ():
@@ -252,7 +252,7 @@
         """Return the news, None where they would tell nothing and none are due."""
         regular = self._news.regular_due()
         held, all_held = self._news.held(
-            self._workers.held_by_id(), regular=regular, instances=len(self._instances)
+            self._workers.resident_by_id(), regular=regular, instances=len(self._instances)
         )
         ready_in = self._workers.ready_in_by_model()
         store = self._read(self._changes)
@@ -286,5 +286,5 @@
 
 
 def _holds(view: WorkerView, unit: Unit) -> bool:
-    adapters = view.held.get(unit.model)
+    adapters = view.resident.get(unit.model)
     return adapters is not None and (not unit.adapter or unit.adapter in adapters)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
@@ -181,7 +181,7 @@
         missed = left * HORIZON_SECONDS * RELIEF_PART
         if coming >= 1:
             return missed
-        crowded = all(v.prompt_tokens > CROWDED_PROMPT_TOKENS for v in views if name in v.held)
+        crowded = all(v.prompt_tokens > CROWDED_PROMPT_TOKENS for v in views if name in v.resident)
         relieved = expected / (holders + 1) * RELIEF_PART if crowded else 0.0
         single = expected * SINGLE_PART if holders == 1 else 0.0
         return max(missed, relieved, single)
@@ -202,7 +202,7 @@
         if view.loading:
             coming[view.loading] += 1.0
         for name, settled_at in view.settled_at.items():
-            if name in view.held:
+            if name in view.resident:
                 coming[name] += 0.5 ** ((now - settled_at) / LEAVING_MEMORY_SECONDS)
     return coming
 
@@ -231,7 +231,7 @@
 
 
 def _eviction(wish: _Wish, view: WorkerView, evictions: Evictions) -> Eviction | None:
-    if not view.free or wish.model.name in view.held:
+    if not view.free or wish.model.name in view.resident:
         return None
     if wish.calm_only and view.prompt_tokens >= CALM_PROMPT_TOKENS:
         return None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/room.py
@@ -5,11 +5,11 @@
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
 
-def used_mb(engine: EngineRule, held: AdaptersByModel) -> float:
+def used_mb(engine: EngineRule, resident: AdaptersByModel) -> float:
     """Return the memory that models and adapters take; unknown models count as the largest."""
     largest = max((rule.weights_mb for rule in engine.models_by_name.values()), default=0.0)
     total = 0.0
-    for name, adapters in held.items():
+    for name, adapters in resident.items():
         rule = engine.models_by_name.get(name)
         total += rule.weights_mb + len(adapters) * rule.adapter_mb if rule else largest
     return total
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
@@ -52,7 +52,7 @@
         rejects, most requests are refused at once, and wait nowhere: their models are missing
         all the same.
         """
-        present = {name for view in views for name in [*view.held, view.loading]}
+        present = {name for view in views for name in [*view.resident, view.loading]}
         waiting = [
             one
             for one in self._demand.waiting()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -80,7 +80,7 @@
             return None
         return {
             name: frozenset(one for one in adapters if Unit(name, one) not in going_adapters)
-            for name, adapters in self.report.held.items()
+            for name, adapters in self.report.resident.items()
             if name not in going
         }
 
@@ -110,16 +110,18 @@
 
     def holds_adapter(self, unit: Unit) -> bool:
         """Return whether the adapter of ``unit`` is there, as far as it is known."""
-        return self.report is not None and unit.adapter in self.report.held.get(unit.model, ())
+        return self.report is not None and unit.adapter in self.report.resident.get(unit.model, ())
 
     def note_adapter(self, unit: Unit, *, held: bool) -> None:
         """Note an adapter that has come or gone."""
         report = self.report
         assert report is not None
-        adapters = report.held.get(unit.model, frozenset())
+        adapters = report.resident.get(unit.model, frozenset())
         changed = adapters | {unit.adapter} if held else adapters - {unit.adapter}
         arriving = frozenset(one for one in report.arriving if one != unit)
-        self.report = report._replace(held={**report.held, unit.model: changed}, arriving=arriving)
+        self.report = report._replace(
+            resident={**report.resident, unit.model: changed}, arriving=arriving
+        )
 
     def has_room(self, unit: Unit) -> bool:
         """Return whether ``unit`` fits beside all that is there or may still arrive."""
@@ -130,12 +132,12 @@
             return False
         arriving = sum(map(self._needed_mb, report.arriving))
         late = late_mb(self.unanswered, report.orders_accepted)
-        taken = used_mb(engine, report.held) + arriving + late
+        taken = used_mb(engine, report.resident) + arriving + late
         return taken + self._needed_mb(unit) <= engine.weights_mb
 
     def _adapters(self, report: EngineReport) -> int:
         late = late_adapters(self.unanswered, report.orders_accepted)
-        return sum(map(len, report.held.values())) + len(report.arriving) + late
+        return sum(map(len, report.resident.values())) + len(report.arriving) + late
 
     def _needed_mb(self, unit: Unit) -> float:
         engine = self._engine()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -197,7 +197,7 @@
         self._ready_at = time.monotonic() + task.load_seconds
         limit = task.load_seconds * LOAD_LIMIT_FACTOR + 1.0
         time.sleep(max(0.0, task.load_seconds - POLL_SECONDS))
-        if not self._until(lambda report: task.model in report.held, limit):
+        if not self._until(lambda report: task.model in report.resident, limit):
             return False
         self.settled_at[task.model] = time.monotonic()
         log_event("model_loaded", upstream=self.upstream.id, model=task.model)
@@ -207,7 +207,7 @@
         result = self._order(Unload(Unit(name)))
         if result not in (OrderResult.ACCEPTED, OrderResult.HOLDS):
             return False
-        if not self._until(lambda report: name not in report.held, UNLOAD_LIMIT_SECONDS):
+        if not self._until(lambda report: name not in report.resident, UNLOAD_LIMIT_SECONDS):
             return False
         log_event("model_unloaded", upstream=self.upstream.id, model=name)
         return True
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
@@ -57,7 +57,7 @@
         """Let a worker that is free carry out ``task``."""
         self._by_id[upstream_id].give(task)
 
-    def held_by_id(self) -> dict[str, AdaptersByModel | None]:
+    def resident_by_id(self) -> dict[str, AdaptersByModel | None]:
         """Return what each worker holds, None where it isn't known."""
         return {key: worker.held() for key, worker in self._by_id.items()}
 
@@ -75,13 +75,13 @@
 
     def _view(self, upstream: Upstream, totals: Totals) -> WorkerView:
         worker = self._by_id[upstream.id]
-        held = worker.held()
-        if held is None:
-            held = {model.name: model.adapters for model in upstream.models_by_name.values()}
+        resident = worker.held()
+        if resident is None:
+            resident = {model.name: model.adapters for model in upstream.models_by_name.values()}
         load = totals.loads.get(upstream.id, Load(0, 0))
         return WorkerView(
             upstream,
-            held,
+            resident,
             worker.free,
             worker.loading,
             worker.settled_at,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_view.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_view.py
@@ -16,7 +16,7 @@
     """
 
     upstream: Upstream
-    held: AdaptersByModel
+    resident: AdaptersByModel
     free: bool
     loading: str
     settled_at: dict[str, float]
@@ -30,7 +30,7 @@
 
     def adapters(self) -> list[Unit]:
         """Return the adapters that it holds."""
-        return [Unit(name, adapter) for name, names in self.held.items() for adapter in names]
+        return [Unit(name, adapter) for name, names in self.resident.items() for adapter in names]
 
     def idle_adapters(self) -> list[Unit]:
         """Return the adapters that it holds and no request uses."""
--- a/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
+++ b/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
@@ -179,7 +179,7 @@
     report = engine.decode_report(
         b'{"Models":[{"Name":"m","Adapters":["a1"]}],"Busy":true,"Seq":3,"Loading":["m/a2@1"],"born":7}'
     )
-    assert report.held == {"m": frozenset({"a1"})}
+    assert report.resident == {"m": frozenset({"a1"})}
     assert report.arriving == {Unit("m", "a2")}
     assert (report.busy, report.orders_accepted, report.born) == (True, 3, 7)
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
@@ -21,7 +21,7 @@
 def view(name, requests, *adapters, model="a"):
     made = plain_view(name, model)
     return made._replace(
-        upstream=upstream(name, model), held={model: frozenset(adapters)}, requests=requests
+        upstream=upstream(name, model), resident={model: frozenset(adapters)}, requests=requests
     )
 
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
@@ -29,7 +29,7 @@
 
 def planned(views, rates_by_id, waiting=()):
     made = with_carried_models(views, rates_by_id, ASKED.__getitem__, waiting)
-    return {one.upstream.id: (sorted(one.held), one.free) for one in made}
+    return {one.upstream.id: (sorted(one.resident), one.free) for one in made}
 
 
 def test_busy_models_of_an_upstream_rate_limited_count_as_missing(views):
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
@@ -137,7 +137,7 @@
 
 
 def test_adapter_goes_where_a_place_is_free(engine):
-    full = view("u0", "a")._replace(held={"a": frozenset({"x", "y"})})
+    full = view("u0", "a")._replace(resident={"a": frozenset({"x", "y"})})
     chosen = adapter_worker(Unit("a", "z"), [full, view("u1", "a")], engine.adapter_slots)
     assert chosen.upstream.id == "u1"
 
@@ -146,7 +146,7 @@
     # The order to drop an adapter that requests use is taken, and waits for their
     # end: for seconds the worker takes no other order, while new ones keep coming.
     used = {Unit("a", "x"): 1, Unit("a", "y"): 2}
-    full = view("u0", "a")._replace(held={"a": frozenset({"x", "y"})}, open_by_unit=used)
+    full = view("u0", "a")._replace(resident={"a": frozenset({"x", "y"})}, open_by_unit=used)
     assert adapter_worker(Unit("a", "z"), [full], engine.adapter_slots) is None
     idle = full._replace(open_by_unit={Unit("a", "x"): 1})
     assert adapter_worker(Unit("a", "z"), [idle], engine.adapter_slots) is idle
