--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
@@ -35,7 +35,7 @@
         """Adapters by model."""
 
     @property
-    def born(self) -> int | None:
+    def started_at_ms(self) -> int | None:
         """Which start of the process says it."""
 
 
@@ -138,7 +138,7 @@
         answers = [*map(_Answer, asked, self._pool.map(self._ask, asked))]
         now = time.monotonic()
         for upstream, report in answers:
-            if report is not None and report.born == upstream.born:
+            if report is not None and report.started_at_ms == upstream.started_at_ms:
                 self._residency.reported(upstream.id, report.resident, now)
         self._see_domain_cut(self._only_own_domain(answers))
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/upstream.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/upstream.py
@@ -38,7 +38,7 @@
     # The platform's name of the process, where ``id`` also tells the start.
     named: str | None = None
     # When it started, in Unix milliseconds by its own clock; None where it isn't told.
-    born: int | None = None
+    started_at_ms: int | None = None
     row_version: int = 0
 
     @property
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/discovery.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/discovery.py
@@ -68,14 +68,14 @@
         in_memory=frozenset(entry.at_hand.in_memory),
         on_disk=frozenset(entry.at_hand.on_disk),
         named=name,
-        born=entry.born,
+        started_at_ms=entry.born,
         row_version=row_version,
     )
 
 
-def start_id(name: str, born: int | None) -> str:
+def start_id(name: str, started_at_ms: int | None) -> str:
     """Return the id of one start of the process ``name``."""
-    return name if born is None else f"{name}@{born}"
+    return name if started_at_ms is None else f"{name}@{started_at_ms}"
 
 
 def _address(text: str) -> tuple[str, int]:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
@@ -45,7 +45,7 @@
         arriving=frozenset(map(_unit, report.loading)),
         busy=report.busy,
         orders_accepted=report.seq,
-        born=report.born,
+        started_at_ms=report.born,
     )
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/engine_report.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/engine_report.py
@@ -11,7 +11,7 @@
 
     ``orders_accepted`` rises by one with each order since the process began;
     while ``busy`` one of them is being carried out. ``arriving`` adapters take
-    their place already. ``born`` tells one start of the process from the next, None
+    their place already. ``started_at_ms`` tells one start of the process from the next, None
     where the platform doesn't tell.
     """
 
@@ -19,4 +19,4 @@
     arriving: frozenset[Unit]
     busy: bool
     orders_accepted: int
-    born: int | None = None
+    started_at_ms: int | None = None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -58,15 +58,15 @@
 
     def is_own(self, report: EngineReport) -> bool:
         """Return whether ``report`` is of this start of the process; else void the ledger."""
-        if report.born == self._upstream.born:
+        if report.started_at_ms == self._upstream.started_at_ms:
             return True
         self.superseded = True
         log_event(
             "upstream_reborn",
             level="WARNING",
             upstream=self._upstream.id,
-            known_start=self._upstream.born,
-            reported_start=report.born,
+            known_start=self._upstream.started_at_ms,
+            reported_start=report.started_at_ms,
         )
         return False
 
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_leaving.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_leaving.py
@@ -12,11 +12,11 @@
 LEAVING = AnswerNotice(leaving=True)
 
 
-def upstream(key, *, born=None):
-    name = key if born is None else f"{key}@{born}"
+def upstream(key, *, started_at_ms=None):
+    name = key if started_at_ms is None else f"{key}@{started_at_ms}"
     return Upstream(
         name, "llm", "127.0.0.1", 1, "z", 8, False, None, {}, frozenset(), frozenset(),
-        named=key, born=born,
+        named=key, started_at_ms=started_at_ms,
     )  # fmt: skip
 
 
@@ -49,9 +49,9 @@
 
 def test_next_start_under_the_name_does_not_leave(fleet):
     # Guards against a restarted upstream that is never used.
-    fleet.directory.replace([upstream("a", born=1)], 2)
+    fleet.directory.replace([upstream("a", started_at_ms=1)], 2)
     fleet.notices.take("a@1", LEAVING, "answer")
-    fleet.directory.replace([upstream("a", born=2)._replace(row_version=2)], 3)
+    fleet.directory.replace([upstream("a", started_at_ms=2)._replace(row_version=2)], 3)
     assert usable(fleet) == {"a@2"}
 
 
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_own_reports.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_own_reports.py
@@ -23,14 +23,14 @@
     def __init__(self):
         self.held_by_id = {}
         self.asked = []
-        self.born = None
+        self.started_at_ms = None
 
     def ask(self, upstream):
         self.asked.append(upstream.id)
         if upstream.id not in self.held_by_id:
             return None
         held = {model: frozenset() for model in self.held_by_id[upstream.id]}
-        return EngineReport(held, frozenset(), False, 0, self.born)
+        return EngineReport(held, frozenset(), False, 0, self.started_at_ms)
 
 
 @pytest.fixture
@@ -126,7 +126,7 @@
 
 
 def test_report_of_another_start_tells_nothing_but_that_it_is_reached(own, fleet, reports):
-    reports.held_by_id, reports.born = {"u0": ["c"], "u1": ["c"]}, 2
+    reports.held_by_id, reports.started_at_ms = {"u0": ["c"], "u1": ["c"]}, 2
     own.step()
     assert holders(fleet, "c") == []
     assert not own.domain_cut
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_starts.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_starts.py
@@ -15,12 +15,12 @@
 PROMPT = Prompt(UNIT, 900, 10, (PromptPart("p", 800), PromptPart("own", 100)))
 
 
-def start(born, row_version, *models):
+def start(started_at_ms, row_version, *models):
     """One start of the worker ``w``."""
     held = {name: ResidentModel(name, 1, frozenset()) for name in models}
     return Upstream(
-        f"w@{born}", "llm", "127.0.0.1", 1, "z1", 64, False, None, held,
-        frozenset(), frozenset(), named="w", born=born, row_version=row_version,
+        f"w@{started_at_ms}", "llm", "127.0.0.1", 1, "z1", 64, False, None, held,
+        frozenset(), frozenset(), named="w", started_at_ms=started_at_ms, row_version=row_version,
     )  # fmt: skip
 
 
--- a/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
+++ b/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
@@ -181,7 +181,7 @@
     )
     assert report.resident == {"m": frozenset({"a1"})}
     assert report.arriving == {Unit("m", "a2")}
-    assert (report.busy, report.orders_accepted, report.born) == (True, 3, 7)
+    assert (report.busy, report.orders_accepted, report.started_at_ms) == (True, 3, 7)
 
 
 def test_order():
--- a/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
@@ -108,12 +108,12 @@
         self.orders = []
         self.results = []
         self.reachable = True
-        self.born = None
+        self.started_at_ms = None
 
     def report(self, upstream):
         if not self.reachable:
             return None
-        return EngineReport(dict(self.held), frozenset(), False, self.accepted, self.born)
+        return EngineReport(dict(self.held), frozenset(), False, self.accepted, self.started_at_ms)
 
     def order(self, upstream, order):
         self.orders.append(order)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
@@ -25,12 +25,12 @@
 def test_report_of_another_start_voids_the_ledger(orders, worker):
     # The worker crashes and is back, empty, before the list tells. The ledger has it at
     # two models: requests were sent for them, and orders were counted from the old number.
-    one = orders(upstream("w")._replace(born=1))
-    worker.born = 1
+    one = orders(upstream("w")._replace(started_at_ms=1))
+    worker.started_at_ms = 1
     one.give(SwapTask((), "b", 0.01))
     assert idle(one)
     assert set(one.held()) == {"a", "b"}
-    worker.born, worker.held, worker.accepted = 2, {}, 0
+    worker.started_at_ms, worker.held, worker.accepted = 2, {}, 0
     one.ledger.forget()
     sent = len(worker.orders)
     one.give(SwapTask((), "c", 0.01))
