--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -151,7 +151,7 @@
         exchange,
         sender,
         chooser,
-        fleet.book,
+        fleet.load_tracker,
         fleet.health,
         fleet.pace,
         budget,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -9,7 +9,7 @@
 from redwingscale_daemon._internal.exceptions import PlatformError
 from redwingscale_daemon._internal.fleet.fleet import Fleet
 from redwingscale_daemon._internal.fleet.list_news import ListNews
-from redwingscale_daemon._internal.fleet.load_book import Load
+from redwingscale_daemon._internal.fleet.load_tracker import Load
 from redwingscale_daemon._internal.lifecycle.ingress_instance import Task
 from redwingscale_daemon._internal.platform import engine, exchange
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
@@ -156,11 +156,11 @@
 
     def make_news(introduce: bool) -> InstanceNews:
         nonlocal told_loads
-        loads = [LoadEntry(key, *load) for key, load in fleet.book.own().items()]
+        loads = [LoadEntry(key, *load) for key, load in fleet.load_tracker.own().items()]
         told_loads = loads
         uses = [
             UseEntry(upstream, unit.model, unit.adapter, requests)
-            for (upstream, unit), requests in fleet.book.open_by_unit().items()
+            for (upstream, unit), requests in fleet.load_tracker.open_by_unit().items()
         ]
         so_far = own_demand.so_far() if introduce else None
         outcomes = [OutcomeEntry(*counts) for counts in fleet.outcomes.drain()]
@@ -265,7 +265,7 @@
     if news.loads is not None:
         fleet.outcomes.set_failing(news.failing)
         own = {entry.upstream: entry for entry in own_loads}
-        fleet.book.set_others(
+        fleet.load_tracker.set_others(
             {entry.upstream: _without(entry, own.get(entry.upstream)) for entry in news.loads}
         )
     fleet.changes.notify()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -65,7 +65,7 @@
         self._failure_domain = failure_domain
         self._instances = instances
         self._directory = fleet.directory
-        self._book = fleet.book
+        self._load_tracker = fleet.load_tracker
         self._prefixes = fleet.prefixes
         self._health = fleet.health
         self._pace = fleet.pace
@@ -121,12 +121,12 @@
         return [u.id for u in upstreams if not self._gate.may_send(u.id)]
 
     def _plain_cost(self, upstream: Upstream) -> float:
-        requests = self._book.total(upstream.id).requests
+        requests = self._load_tracker.total(upstream.id).requests
         beyond = max(0, requests + 1 - upstream.slots)
         return requests * PLAIN_REQUEST_MS / upstream.slots + beyond * PLAIN_REQUEST_MS
 
     def _prompt_candidate(self, upstream: Upstream, prompt: Prompt, home: str) -> Candidate:
-        load = self._book.total(upstream.id)
+        load = self._load_tracker.total(upstream.id)
         kept = self._prefixes.kept_tokens(upstream.id, prompt)
         if not kept and upstream.id == home:
             kept = _shared_tokens(prompt) // 2
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
@@ -6,7 +6,7 @@
 from redwingscale_daemon._internal.fleet.answer_notices import AnswerNotices
 from redwingscale_daemon._internal.fleet.changes import Changes
 from redwingscale_daemon._internal.fleet.health import Health
-from redwingscale_daemon._internal.fleet.load_book import LoadBook
+from redwingscale_daemon._internal.fleet.load_tracker import LoadTracker
 from redwingscale_daemon._internal.fleet.outcomes import Outcomes
 from redwingscale_daemon._internal.fleet.pace import Pace
 from redwingscale_daemon._internal.fleet.prefix_memory import PrefixMemory
@@ -23,7 +23,7 @@
     directory: UpstreamDirectory
     residency: Residency
     changes: Changes
-    book: LoadBook
+    load_tracker: LoadTracker
     health: Health
     pace: Pace
     prefixes: PrefixMemory
@@ -38,17 +38,17 @@
     """Return parts of ``instance`` that know nothing yet, and forget what is no longer listed."""
     changes, residency, outcomes = Changes(), Residency(), Outcomes()
     directory = UpstreamDirectory(residency, changes)
-    book, health, pace, prefixes = LoadBook(), Health(outcomes), Pace(), PrefixMemory()
+    load_tracker, health, pace, prefixes = LoadTracker(), Health(outcomes), Pace(), PrefixMemory()
     rates = RateLimits(instance, instances, directory.lists)
     retry_times = RetryTimes()
     notices = AnswerNotices(directory, rates, retry_times)
-    for part in (book, health, pace, prefixes, residency, rates, retry_times):
+    for part in (load_tracker, health, pace, prefixes, residency, rates, retry_times):
         directory.on_gone(part.forget)
     return Fleet(
         directory,
         residency,
         changes,
-        book,
+        load_tracker,
         health,
         pace,
         prefixes,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/load_book.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/load_tracker.py
@@ -26,9 +26,9 @@
     """One request at one upstream."""
 
     def __init__(
-        self, book: "LoadBook", upstream_id: str, unit: Unit | None, prompt_tokens: int
+        self, load_tracker: "LoadTracker", upstream_id: str, unit: Unit | None, prompt_tokens: int
     ) -> None:
-        self._book = book
+        self._load_tracker = load_tracker
         self._upstream_id = upstream_id
         self._unit = unit
         self._prompt_tokens = prompt_tokens
@@ -37,17 +37,17 @@
     def prompt_read(self) -> None:
         """Note the first event: the prompt has been read."""
         if self._prompt_tokens:
-            self._book.add(self._upstream_id, 0, -self._prompt_tokens)
+            self._load_tracker.add(self._upstream_id, 0, -self._prompt_tokens)
             self._prompt_tokens = 0
 
     def leave(self) -> None:
         """Note the end; a second call does nothing."""
         if self._open:
             self._open = False
-            self._book.add(self._upstream_id, -1, -self._prompt_tokens, self._unit)
+            self._load_tracker.add(self._upstream_id, -1, -self._prompt_tokens, self._unit)
 
 
-class LoadBook:
+class LoadTracker:
     """Own load by upstream id, and what the other instances have told of theirs."""
 
     def __init__(self) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
@@ -7,7 +7,7 @@
 
 from redwingscale_daemon._internal.fleet.answer_notices import KnownNotices
 from redwingscale_daemon._internal.fleet.chooser import Candidate
-from redwingscale_daemon._internal.fleet.load_book import Load
+from redwingscale_daemon._internal.fleet.load_tracker import Load
 from redwingscale_daemon._internal.forwarding.outcome import Lost, NotRun
 from redwingscale_daemon._internal.forwarding.repeat_budget import RepeatBudget
 from redwingscale_daemon._internal.ingress.ingress_request import Headers
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/parts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/parts.py
@@ -5,7 +5,7 @@
 from redwingscale_daemon._internal.fleet.answer_notices import AnswerNotices
 from redwingscale_daemon._internal.fleet.chooser import Chooser
 from redwingscale_daemon._internal.fleet.health import Health
-from redwingscale_daemon._internal.fleet.load_book import LoadBook
+from redwingscale_daemon._internal.fleet.load_tracker import LoadTracker
 from redwingscale_daemon._internal.fleet.pace import Pace
 from redwingscale_daemon._internal.fleet.send_gate import SendGate
 from redwingscale_daemon._internal.forwarding.dialect import Dialect
@@ -19,7 +19,7 @@
     dialect: Dialect
     sender: Sender
     chooser: Chooser
-    book: LoadBook
+    load_tracker: LoadTracker
     health: Health
     pace: Pace
     budget: RepeatBudget
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -49,10 +49,10 @@
             if not self._parts.gate.draw(candidate.upstream.id):
                 # Another request has used the permit, or was rejected.
                 continue
-            load = self._parts.book.total(candidate.upstream.id)
+            load = self._parts.load_tracker.total(candidate.upstream.id)
             notices = self._parts.notices.known(candidate.upstream.id)
             call.attempts.begin(call.terms.request_id, candidate, load, notices)
-            ticket = self._parts.book.enter(candidate.upstream.id, None, 0)
+            ticket = self._parts.load_tracker.enter(candidate.upstream.id, None, 0)
             try:
                 if self._send(call, candidate.upstream):
                     return
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -9,7 +9,7 @@
     UpstreamSilent,
 )
 from redwingscale_daemon._internal.fleet.chooser import Candidate
-from redwingscale_daemon._internal.fleet.load_book import LoadTicket
+from redwingscale_daemon._internal.fleet.load_tracker import LoadTicket
 from redwingscale_daemon._internal.fleet.prefix_memory import PrefixMemory
 from redwingscale_daemon._internal.fleet.prompt import Prompt
 from redwingscale_daemon._internal.forwarding.call import Call
@@ -83,12 +83,12 @@
             if not call.attempts.sendings:
                 call.permit.check()
             upstream = candidate.upstream
-            load = self._parts.book.total(upstream.id)
+            load = self._parts.load_tracker.total(upstream.id)
             notices = self._parts.notices.known(upstream.id)
             call.attempts.begin(call.terms.request_id, candidate, load, notices)
             kept = self._prefixes.kept_tokens(upstream.id, prompt)
             unread = max(0, prompt.tokens_in - kept)
-            ticket = self._parts.book.enter(upstream.id, prompt.unit, unread)
+            ticket = self._parts.load_tracker.enter(upstream.id, prompt.unit, unread)
             self._prefixes.sent(upstream.id, prompt)
             try:
                 if self._send(call, candidate, progress, ticket):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_totals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_totals.py
@@ -4,7 +4,7 @@
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.fleet.load_book import NO_LOAD, Load
+from redwingscale_daemon._internal.fleet.load_tracker import NO_LOAD, Load
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.messages import InstanceNews
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable
 
-from redwingscale_daemon._internal.fleet.load_book import Load
+from redwingscale_daemon._internal.fleet.load_tracker import Load
 from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
@@ -13,7 +13,7 @@
 import pytest
 from redwingscale_daemon._internal.fleet.chooser import Candidate, Chooser
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
-from redwingscale_daemon._internal.fleet.load_book import NO_LOAD, Load
+from redwingscale_daemon._internal.fleet.load_tracker import NO_LOAD, Load
 from redwingscale_daemon._internal.fleet.prompt import Prompt
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream import ResidentModel, Upstream
@@ -90,7 +90,7 @@
         number = self.random.randrange(self.shape.instances)
         tokens = int(min(6870, self.random.lognormvariate(7.2, 0.7)))
         chosen = self.choosers[number].for_prompt("llm", Prompt(UNIT, tokens, 100, ()), ())
-        ticket = self.fleets[number].book.enter(chosen.upstream.id, UNIT, tokens)
+        ticket = self.fleets[number].load_tracker.enter(chosen.upstream.id, UNIT, tokens)
         read = tokens / self.shape.tokens_per_ms / 1000 + FIRST_STEP_SECONDS
         begins = max(now, self.free_at[chosen.upstream.id])
         done = begins + read
@@ -107,7 +107,7 @@
 
     def news(self):
         self.at(self.clock[0] + NEWS_SECONDS, self.news)
-        own = [fleet.book.own() for fleet in self.fleets]
+        own = [fleet.load_tracker.own() for fleet in self.fleets]
         total = dict.fromkeys(self.free_at, NO_LOAD)
         for key, load in itertools.chain.from_iterable(one.items() for one in own):
             total[key] = _sum(total[key], load)
@@ -119,7 +119,7 @@
 
     def tell(self, others):
         for fleet, loads in zip(self.fleets, others, strict=True):
-            fleet.book.set_others(loads)
+            fleet.load_tracker.set_others(loads)
 
 
 def _sum(one, other, sign=1):
@@ -169,7 +169,7 @@
         for n in range(3)
     )
     for upstream_id in ("u0", "u2"):
-        fleet.book.enter(upstream_id, UNIT, 2000)
+        fleet.load_tracker.enter(upstream_id, UNIT, 2000)
     chooser = Chooser("z", fleet, lambda: 6)
     chosen = {
         chooser.for_prompt("llm", Prompt(UNIT, 1000, 10, ()), ()).upstream.id for _ in range(50)
@@ -187,7 +187,7 @@
         for n in range(12)
     )
     for number in range(11):
-        fleet.book.enter(f"u{number}", UNIT, 90_000)
+        fleet.load_tracker.enter(f"u{number}", UNIT, 90_000)
     chooser = Chooser("z", fleet, lambda: 195)
     prompt = Prompt(UNIT, 1000, 10, ())
     for _ in range(50):
--- a/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
@@ -207,7 +207,7 @@
         self.needs = Needs()
         self.ended = []
         self.limiter = UseLimiter(lambda: 1)
-        self.book = fleet.book
+        self.load_tracker = fleet.load_tracker
         self.rates = fleet.rates
         self.notices = fleet.notices
         chooser = Chooser("z1", fleet)
@@ -217,7 +217,7 @@
             exchange,
             Sender(self.pool, exchange, fleet.notices),
             chooser,
-            fleet.book,
+            fleet.load_tracker,
             fleet.health,
             fleet.pace,
             budget,
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
@@ -117,7 +117,7 @@
 def test_load_is_given_back(world):
     world.add("llm", events(1, then="break"))
     world.ask("/single/", model="m")
-    assert world.book.own() == {}
+    assert world.load_tracker.own() == {}
 
 
 def test_waiting_request_is_refused_before_the_process_ends(world):
@@ -161,7 +161,7 @@
     # other moment and no other upstream would make it shorter.
     world.add("llm", events(1))
     assert world.ask("/stream/", model="m", tokens="40000,10").status == 200
-    ticket = world.book.enter("u0", None, 40_000)
+    ticket = world.load_tracker.enter("u0", None, 40_000)
     small = world.ask("/stream/", model="m")
     assert (small.status, b"overloaded" in small.body) == (503, True)
     ticket.leave()
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_giver_news.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_giver_news.py
@@ -7,7 +7,7 @@
 from redwingscale_daemon._internal.composition.swaps import _take_news
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.list_told import ListTold
-from redwingscale_daemon._internal.fleet.load_book import Load
+from redwingscale_daemon._internal.fleet.load_tracker import Load
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.route_table import IngressLimits, RouteTable
 from redwingscale_daemon._internal.routes.service_rule import ServiceRule
@@ -93,11 +93,11 @@
 def test_own_load_is_not_counted_twice():
     fleet = new_fleet()
     own = [LoadEntry("u0", 3, 200)]
-    fleet.book.enter("u0", None, 0)
+    fleet.load_tracker.enter("u0", None, 0)
     _take_news(
         GiverNews("g", 1, [], True, {}, [LoadEntry("u0", 5, 900)], 2, NOTHING_READ), own, fleet
     )
-    assert fleet.book.total("u0") == Load(3, 700)
+    assert fleet.load_tracker.total("u0") == Load(3, 700)
 
 
 def test_holdings_of_a_former_giver_are_not_carried_over():
