--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -153,7 +153,7 @@
         chooser,
         fleet.load_tracker,
         fleet.health,
-        fleet.pace,
+        fleet.latency_factors,
         budget,
         fleet.gate,
         fleet.notices,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -68,7 +68,7 @@
         self._load_tracker = fleet.load_tracker
         self._prefixes = fleet.prefixes
         self._health = fleet.health
-        self._pace = fleet.pace
+        self._latency_factors = fleet.latency_factors
         self._gate = fleet.gate
         # Not for secrets: it only spreads requests.
         self._random = random.Random()
@@ -133,7 +133,7 @@
         own = max(0, prompt.tokens_in - kept) / PROMPT_TOKENS_PER_MS
         others = load.prompt_tokens / PROMPT_TOKENS_PER_MS + load.requests * RUNNING_REQUEST_MS
         beyond = max(0, load.requests + 1 - upstream.slots) * BEYOND_BATCH_MS
-        factor = self._pace.factor(upstream.id)
+        factor = self._latency_factors.factor(upstream.id)
         queue = others * factor + beyond
         expected = queue + own * factor
         return Candidate(expected, upstream, own + others, expected, queue, kept)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
@@ -6,9 +6,9 @@
 from redwingscale_daemon._internal.fleet.answer_notices import AnswerNotices
 from redwingscale_daemon._internal.fleet.changes import Changes
 from redwingscale_daemon._internal.fleet.health import Health
+from redwingscale_daemon._internal.fleet.latency_factors import LatencyFactors
 from redwingscale_daemon._internal.fleet.load_tracker import LoadTracker
 from redwingscale_daemon._internal.fleet.outcomes import Outcomes
-from redwingscale_daemon._internal.fleet.pace import Pace
 from redwingscale_daemon._internal.fleet.prefix_memory import PrefixMemory
 from redwingscale_daemon._internal.fleet.rate_limits import RateLimits
 from redwingscale_daemon._internal.fleet.residency import Residency
@@ -25,7 +25,7 @@
     changes: Changes
     load_tracker: LoadTracker
     health: Health
-    pace: Pace
+    latency_factors: LatencyFactors
     prefixes: PrefixMemory
     outcomes: Outcomes
     rates: RateLimits
@@ -38,11 +38,16 @@
     """Return parts of ``instance`` that know nothing yet, and forget what is no longer listed."""
     changes, residency, outcomes = Changes(), Residency(), Outcomes()
     directory = UpstreamDirectory(residency, changes)
-    load_tracker, health, pace, prefixes = LoadTracker(), Health(outcomes), Pace(), PrefixMemory()
+    load_tracker, health, latency_factors, prefixes = (
+        LoadTracker(),
+        Health(outcomes),
+        LatencyFactors(),
+        PrefixMemory(),
+    )
     rates = RateLimits(instance, instances, directory.lists)
     retry_times = RetryTimes()
     notices = AnswerNotices(directory, rates, retry_times)
-    for part in (load_tracker, health, pace, prefixes, residency, rates, retry_times):
+    for part in (load_tracker, health, latency_factors, prefixes, residency, rates, retry_times):
         directory.on_gone(part.forget)
     return Fleet(
         directory,
@@ -50,7 +55,7 @@
         changes,
         load_tracker,
         health,
-        pace,
+        latency_factors,
         prefixes,
         outcomes,
         rates,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/pace.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/latency_factors.py
@@ -10,7 +10,7 @@
 LEAST_EXPECTED_MS = 100.0
 
 
-class Pace:
+class LatencyFactors:
     """The factor between the first event's expected and real time, by upstream.
 
     Models and upstreams differ in speed by three times and more, and an upstream
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/parts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/parts.py
@@ -5,8 +5,8 @@
 from redwingscale_daemon._internal.fleet.answer_notices import AnswerNotices
 from redwingscale_daemon._internal.fleet.chooser import Chooser
 from redwingscale_daemon._internal.fleet.health import Health
+from redwingscale_daemon._internal.fleet.latency_factors import LatencyFactors
 from redwingscale_daemon._internal.fleet.load_tracker import LoadTracker
-from redwingscale_daemon._internal.fleet.pace import Pace
 from redwingscale_daemon._internal.fleet.send_gate import SendGate
 from redwingscale_daemon._internal.forwarding.dialect import Dialect
 from redwingscale_daemon._internal.forwarding.repeat_budget import RepeatBudget
@@ -21,7 +21,7 @@
     chooser: Chooser
     load_tracker: LoadTracker
     health: Health
-    pace: Pace
+    latency_factors: LatencyFactors
     budget: RepeatBudget
     gate: SendGate
     notices: AnswerNotices
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
@@ -96,11 +96,11 @@
         done = begins + read
         self.free_at[chosen.upstream.id] = done
         self.waits.append(begins - now)
-        pace = self.fleets[number].pace
+        latency_factors = self.fleets[number].latency_factors
 
         def first_event():
             ticket.prompt_read()
-            pace.observed(chosen.upstream.id, chosen.first_event_ms, (done - now) * 1000)
+            latency_factors.observed(chosen.upstream.id, chosen.first_event_ms, (done - now) * 1000)
 
         self.at(done, first_event)
         self.at(done + STREAM_SECONDS, ticket.leave)
--- a/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
@@ -219,7 +219,7 @@
             chooser,
             fleet.load_tracker,
             fleet.health,
-            fleet.pace,
+            fleet.latency_factors,
             budget,
             fleet.gate,
             fleet.notices,
