--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -146,7 +146,7 @@
     rule = BudgetRule(bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window)
     budget = RepeatBudget(rule, swaps.instances)
     chooser = Chooser(settings.failure_domain, fleet, swaps.instances)
-    sender = Sender(pool, exchange, fleet.notices)
+    sender = Sender(pool, exchange, fleet.backpressure)
     parts = RelayParts(
         exchange,
         sender,
@@ -156,7 +156,7 @@
         fleet.latency_factors,
         budget,
         fleet.gate,
-        fleet.notices,
+        fleet.backpressure,
     )
     wait = HolderWait(
         chooser,
@@ -192,7 +192,9 @@
 
     client = OrderClient(
         engine_calls(),
-        on_notice=lambda upstream, notice: fleet.notices.take(upstream, notice, "own report"),
+        on_backpressure=lambda upstream, backpressure: fleet.backpressure.take(
+            upstream, backpressure, "own report"
+        ),
         connect_seconds=CONNECT_SECONDS,
         answer_seconds=CONNECT_SECONDS,
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -86,7 +86,7 @@
         engine.encode_order,
         engine.order_headers,
         engine.order_result,
-        exchange.read_notice,
+        exchange.read_backpressure,
     )
 
 
@@ -199,7 +199,9 @@
         OrderClient(
             engine_calls(),
             lambda result: metrics.orders.add(1, {"result": result.value}),
-            lambda upstream, notice: fleet.notices.take(upstream, notice, "order giver"),
+            lambda upstream, backpressure: fleet.backpressure.take(
+                upstream, backpressure, "order giver"
+            ),
         ),
         hub,
         LoadCeiling(0.0, bounds.load_window),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/answer_notice.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/backpressure.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class AnswerNotice(NamedTuple):
+class Backpressure(NamedTuple):
     """Read from the head of an answer, whatever was asked.
 
     ``per_second`` requests are taken of all instances together, None for any rate. A
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/answer_notices.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/backpressure_tracker.py
@@ -4,13 +4,13 @@
 
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.fleet.answer_notice import AnswerNotice
+from redwingscale_daemon._internal.fleet.backpressure import Backpressure
 from redwingscale_daemon._internal.fleet.rate_limits import RateLimits
 from redwingscale_daemon._internal.fleet.retry_times import RetryTimes
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 
 
-class KnownNotices(NamedTuple):
+class BackpressureState(NamedTuple):
     """What one upstream has said of itself so far.
 
     ``per_second`` is its rate limit, ``leaving_seconds`` the time since an answer or the
@@ -23,7 +23,7 @@
     retry_in: float
 
 
-class AnswerNotices:
+class BackpressureTracker:
     """One place for all answers: to callers' requests, own reports and orders.
 
     Notices are kept by upstream id, hence by its start: what a process said before it
@@ -38,7 +38,11 @@
         self._retry_times = retry_times
 
     def take(
-        self, upstream_id: str, notice: AnswerNotice, source: str, sent_at: float | None = None
+        self,
+        upstream_id: str,
+        backpressure: Backpressure,
+        source: str,
+        sent_at: float | None = None,
     ) -> None:
         """Take the notice of an answer of ``upstream_id``; what is not listed says nothing.
 
@@ -47,15 +51,15 @@
         """
         if not self._directory.lists(upstream_id):
             return
-        self._take_limit(upstream_id, notice.per_second, source, sent_at)
-        if notice.leaving:
+        self._take_limit(upstream_id, backpressure.per_second, source, sent_at)
+        if backpressure.leaving:
             self._directory.note_leaving([upstream_id], source)
-        if notice.retry_after_seconds is not None:
-            self._take_retry_after(upstream_id, notice.retry_after_seconds, source)
+        if backpressure.retry_after_seconds is not None:
+            self._take_retry_after(upstream_id, backpressure.retry_after_seconds, source)
 
-    def known(self, upstream_id: str) -> KnownNotices:
+    def state(self, upstream_id: str) -> BackpressureState:
         """Return what is known of ``upstream_id``."""
-        return KnownNotices(
+        return BackpressureState(
             self._rates.per_second(upstream_id),
             self._directory.leaving_seconds(upstream_id),
             self._retry_times.remaining(upstream_id),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.fleet.answer_notices import AnswerNotices
+from redwingscale_daemon._internal.fleet.backpressure_tracker import BackpressureTracker
 from redwingscale_daemon._internal.fleet.changes import Changes
 from redwingscale_daemon._internal.fleet.health import Health
 from redwingscale_daemon._internal.fleet.latency_factors import LatencyFactors
@@ -31,7 +31,7 @@
     rates: RateLimits
     retry_times: RetryTimes
     gate: SendGate
-    notices: AnswerNotices
+    backpressure: BackpressureTracker
 
 
 def new_fleet(instance: str = "", instances: Callable[[], int] = lambda: 1) -> Fleet:
@@ -46,7 +46,7 @@
     )
     rates = RateLimits(instance, instances, directory.lists)
     retry_times = RetryTimes()
-    notices = AnswerNotices(directory, rates, retry_times)
+    backpressure = BackpressureTracker(directory, rates, retry_times)
     for part in (load_tracker, health, latency_factors, prefixes, residency, rates, retry_times):
         directory.on_gone(part.forget)
     return Fleet(
@@ -61,5 +61,5 @@
         rates,
         retry_times,
         SendGate(rates, retry_times),
-        notices,
+        backpressure,
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
@@ -5,7 +5,7 @@
 
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.fleet.answer_notices import KnownNotices
+from redwingscale_daemon._internal.fleet.backpressure_tracker import BackpressureState
 from redwingscale_daemon._internal.fleet.chooser import Candidate
 from redwingscale_daemon._internal.fleet.load_tracker import Load
 from redwingscale_daemon._internal.forwarding.outcome import Lost, NotRun
@@ -43,7 +43,9 @@
         self._sent_at = 0.0
         self.first_event_seconds: float | None = None
 
-    def begin(self, request: str, chosen: Candidate, load: Load, notices: KnownNotices) -> None:
+    def begin(
+        self, request: str, chosen: Candidate, load: Load, backpressure: BackpressureState
+    ) -> None:
         """Note a sending to ``chosen``, with what decided it and what its answers have said."""
         upstream_id = chosen.upstream.id
         log_event(
@@ -55,9 +57,9 @@
             cost_ms=round(chosen.cost_ms),
             open=load.requests,
             unread_tokens=load.prompt_tokens,
-            rate=_or_dash(notices.per_second),
-            leaving=_or_dash(notices.leaving_seconds),
-            retry_in=round(notices.retry_in, 3),
+            rate=_or_dash(backpressure.per_second),
+            leaving=_or_dash(backpressure.leaving_seconds),
+            retry_in=round(backpressure.retry_in, 3),
         )
         if not self.sendings:
             self._budget.note_request(self._service)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/dialect.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/dialect.py
@@ -3,7 +3,7 @@
 from http.client import HTTPResponse
 from typing import Protocol
 
-from redwingscale_daemon._internal.fleet.answer_notice import AnswerNotice
+from redwingscale_daemon._internal.fleet.backpressure import Backpressure
 from redwingscale_daemon._internal.forwarding.terms import Terms
 from redwingscale_daemon._internal.ingress.ingress_request import Headers, IngressRequest
 
@@ -54,7 +54,7 @@
     def is_from_another(self, response: HTTPResponse, upstream_name: str) -> bool:
         """Return whether another process than ``upstream_name`` has its address now."""
 
-    def read_notice(self, status: int, headers: HeaderValues) -> AnswerNotice:
+    def read_backpressure(self, status: int, headers: HeaderValues) -> Backpressure:
         """Return what an answer says of its upstream."""
 
     def idle_seconds(self, response: HTTPResponse) -> float | None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/parts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/parts.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.fleet.answer_notices import AnswerNotices
+from redwingscale_daemon._internal.fleet.backpressure_tracker import BackpressureTracker
 from redwingscale_daemon._internal.fleet.chooser import Chooser
 from redwingscale_daemon._internal.fleet.health import Health
 from redwingscale_daemon._internal.fleet.latency_factors import LatencyFactors
@@ -24,4 +24,4 @@
     latency_factors: LatencyFactors
     budget: RepeatBudget
     gate: SendGate
-    notices: AnswerNotices
+    backpressure: BackpressureTracker
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -50,8 +50,8 @@
                 # Another request has used the permit, or was rejected.
                 continue
             load = self._parts.load_tracker.total(candidate.upstream.id)
-            notices = self._parts.notices.known(candidate.upstream.id)
-            call.attempts.begin(call.terms.request_id, candidate, load, notices)
+            backpressure = self._parts.backpressure.state(candidate.upstream.id)
+            call.attempts.begin(call.terms.request_id, candidate, load, backpressure)
             ticket = self._parts.load_tracker.enter(candidate.upstream.id, None, 0)
             try:
                 if self._send(call, candidate.upstream):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
@@ -11,8 +11,8 @@
     TimeLimitReached,
     UpstreamSilent,
 )
-from redwingscale_daemon._internal.fleet.answer_notice import AnswerNotice
-from redwingscale_daemon._internal.fleet.answer_notices import AnswerNotices
+from redwingscale_daemon._internal.fleet.backpressure import Backpressure
+from redwingscale_daemon._internal.fleet.backpressure_tracker import BackpressureTracker
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.forwarding.connection_pool import ConnectionPool
 from redwingscale_daemon._internal.forwarding.dialect import Dialect
@@ -30,10 +30,12 @@
 class Sender:
     """Uses a kept connection or a new one; never sends anything twice."""
 
-    def __init__(self, pool: ConnectionPool, dialect: Dialect, notices: AnswerNotices) -> None:
+    def __init__(
+        self, pool: ConnectionPool, dialect: Dialect, backpressure: BackpressureTracker
+    ) -> None:
         self._pool = pool
         self._dialect = dialect
-        self._notices = notices
+        self._backpressure = backpressure
 
     def send(
         self,
@@ -65,10 +67,10 @@
         if response is None:
             connection.discard()
             return Lost(upstream, "answers of other requests")
-        notice = self._note(upstream, response, sent_at)
+        backpressure = self._note(upstream, response, sent_at)
         if self._dialect.was_not_run(response):
             refused = self._refused(upstream, connection, response)
-            return refused._replace(retry_later=bool(notice.retry_after_seconds))
+            return refused._replace(retry_later=bool(backpressure.retry_after_seconds))
         return Answering(upstream, connection, response)
 
     def keep(self, answering: Answering) -> None:
@@ -101,14 +103,14 @@
         response = connection.receive_next(request.method)
         return response if self._dialect.answers(response, request_id) else None
 
-    def _note(self, upstream: Upstream, response: HTTPResponse, sent_at: float) -> AnswerNotice:
+    def _note(self, upstream: Upstream, response: HTTPResponse, sent_at: float) -> Backpressure:
         if self._dialect.is_from_another(response, upstream.platform_name):
-            return AnswerNotice()
-        notice = self._dialect.read_notice(response.status, response.headers)
+            return Backpressure()
+        backpressure = self._dialect.read_backpressure(response.status, response.headers)
         # What answers without a signature may be garbled.
         signed_at = sent_at if self._dialect.is_signed(response) else None
-        self._notices.take(upstream.id, notice, "answer", signed_at)
-        return notice
+        self._backpressure.take(upstream.id, backpressure, "answer", signed_at)
+        return backpressure
 
     def _refused(
         self, upstream: Upstream, connection: UpstreamConnection, response: HTTPResponse
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -84,8 +84,8 @@
                 call.permit.check()
             upstream = candidate.upstream
             load = self._parts.load_tracker.total(upstream.id)
-            notices = self._parts.notices.known(upstream.id)
-            call.attempts.begin(call.terms.request_id, candidate, load, notices)
+            backpressure = self._parts.backpressure.state(upstream.id)
+            call.attempts.begin(call.terms.request_id, candidate, load, backpressure)
             kept = self._prefixes.kept_tokens(upstream.id, prompt)
             unread = max(0, prompt.tokens_in - kept)
             ticket = self._parts.load_tracker.enter(upstream.id, prompt.unit, unread)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
@@ -6,7 +6,7 @@
 
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.fleet.answer_notice import AnswerNotice
+from redwingscale_daemon._internal.fleet.backpressure import Backpressure
 from redwingscale_daemon._internal.fleet.prompt import Prompt, PromptPart
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.forwarding.dialect import HeaderValues
@@ -135,13 +135,13 @@
     return response.status == _MISDIRECTED and answering not in (None, upstream_name)
 
 
-def read_notice(status: int, headers: HeaderValues) -> AnswerNotice:
+def read_backpressure(status: int, headers: HeaderValues) -> Backpressure:
     """Return what an answer says of its upstream; what is malformed says nothing.
 
     An answer of another process at the upstream's address must not be passed in.
     """
     retry_after = _number(headers, "Retry-After") if status == _UNAVAILABLE else None
-    return AnswerNotice(_number(headers, names.RATE_LIMIT), _leaving(headers), retry_after)
+    return Backpressure(_number(headers, names.RATE_LIMIT), _leaving(headers), retry_after)
 
 
 def idle_seconds(response: HTTPResponse) -> float | None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_client.py
@@ -9,7 +9,7 @@
 from urllib3.connection import HTTPConnection
 from urllib3.exceptions import ConnectTimeoutError, HTTPError, NewConnectionError
 
-from redwingscale_daemon._internal.fleet.answer_notice import AnswerNotice
+from redwingscale_daemon._internal.fleet.backpressure import Backpressure
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.forwarding.dialect import HeaderValues
 from redwingscale_daemon._internal.swaps.engine_report import EngineReport
@@ -31,7 +31,7 @@
     encode_order: Callable[[Order], bytes]
     order_headers: Callable[[str], dict[str, str]]
     order_result: Callable[[int], OrderResult]
-    read_notice: Callable[[int, HeaderValues], AnswerNotice] = lambda *_: AnswerNotice()
+    read_backpressure: Callable[[int, HeaderValues], Backpressure] = lambda *_: Backpressure()
 
 
 class OrderClient:
@@ -46,7 +46,7 @@
         self,
         calls: EngineCalls,
         on_result: Callable[[OrderResult], None] = lambda _: None,
-        on_notice: Callable[[str, AnswerNotice], None] = lambda *_: None,
+        on_backpressure: Callable[[str, Backpressure], None] = lambda *_: None,
         *,
         connect_seconds: float = CONNECT_SECONDS,
         answer_seconds: float = ANSWER_SECONDS,
@@ -54,7 +54,7 @@
         self._calls = calls
         self._on_result = on_result
         # Takes an upstream id and what an answer says of the upstream.
-        self._on_notice = on_notice
+        self._on_backpressure = on_backpressure
         self._pools = urllib3.PoolManager(
             num_pools=64,
             maxsize=1,
@@ -96,8 +96,8 @@
         return self._calls.order_result(response.status)
 
     def _note(self, upstream: Upstream, response: BaseHTTPResponse) -> None:
-        notice = self._calls.read_notice(response.status, response.headers)
-        self._on_notice(upstream.id, notice)
+        backpressure = self._calls.read_backpressure(response.status, response.headers)
+        self._on_backpressure(upstream.id, backpressure)
 
 
 def _url(upstream: Upstream, target: str) -> str:
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_leaving.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_leaving.py
@@ -1,7 +1,7 @@
 """Upstreams that say that they leave where the list does not yet."""
 
 import pytest
-from redwingscale_daemon._internal.fleet.answer_notice import AnswerNotice
+from redwingscale_daemon._internal.fleet.backpressure import Backpressure
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.leaving_upstreams import (
     REMEMBERED_SECONDS,
@@ -9,7 +9,7 @@
 )
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 
-LEAVING = AnswerNotice(leaving=True)
+LEAVING = Backpressure(leaving=True)
 
 
 def upstream(key, *, started_at_ms=None):
@@ -33,7 +33,7 @@
 
 def test_list_that_says_otherwise_does_not_end_the_leaving_that_an_answer_tells(fleet):
     # Guards against an upstream that is used again because its entry is older than its answer.
-    fleet.notices.take("a", LEAVING, "answer")
+    fleet.backpressure.take("a", LEAVING, "answer")
     fleet.directory.replace([upstream("a"), upstream("b")], 2)
     fleet.directory.update([upstream("a")], [], 3)
     assert usable(fleet) == {"b"}
@@ -41,7 +41,7 @@
 
 def test_entry_that_lapsed_and_returned_does_not_end_the_leaving(fleet):
     # Guards against an upstream that is used again after an outage of the store.
-    fleet.notices.take("a", LEAVING, "answer")
+    fleet.backpressure.take("a", LEAVING, "answer")
     fleet.directory.replace([upstream("b")], 2)
     fleet.directory.replace([upstream("a"), upstream("b")], 3)
     assert usable(fleet) == {"b"}
@@ -50,21 +50,21 @@
 def test_next_start_under_the_name_does_not_leave(fleet):
     # Guards against a restarted upstream that is never used.
     fleet.directory.replace([upstream("a", started_at_ms=1)], 2)
-    fleet.notices.take("a@1", LEAVING, "answer")
+    fleet.backpressure.take("a@1", LEAVING, "answer")
     fleet.directory.replace([upstream("a", started_at_ms=2)._replace(row_version=2)], 3)
     assert usable(fleet) == {"a@2"}
 
 
 def test_notice_of_an_upstream_that_is_not_listed_is_dropped(fleet):
     # Guards against a memory that grows with each upstream that has gone.
-    fleet.notices.take("c", LEAVING, "answer")
+    fleet.backpressure.take("c", LEAVING, "answer")
     assert fleet.directory.leaving_seconds("c") is None
 
 
 def test_waiting_requests_hear_of_a_leaving_upstream(fleet):
     # Guards against requests that wait on for an upstream that takes none.
     seen = fleet.changes.count
-    fleet.notices.take("a", LEAVING, "answer")
+    fleet.backpressure.take("a", LEAVING, "answer")
     assert fleet.changes.count > seen
 
 
--- a/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
@@ -209,20 +209,20 @@
         self.limiter = UseLimiter(lambda: 1)
         self.load_tracker = fleet.load_tracker
         self.rates = fleet.rates
-        self.notices = fleet.notices
+        self.backpressure = fleet.backpressure
         chooser = Chooser("z1", fleet)
         chooser._random = random.Random(1)
         budget = RepeatBudget(BudgetRule(0.2, 50.0, 10.0), lambda: 1)
         parts = RelayParts(
             exchange,
-            Sender(self.pool, exchange, fleet.notices),
+            Sender(self.pool, exchange, fleet.backpressure),
             chooser,
             fleet.load_tracker,
             fleet.health,
             fleet.latency_factors,
             budget,
             fleet.gate,
-            fleet.notices,
+            fleet.backpressure,
         )
         self.cut_off = None
         wait = HolderWait(
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_answer_notices.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_answer_notices.py
@@ -168,4 +168,4 @@
     other = ("X-Redwingscale-Instance-Id: other", "Server-Leaving: 1")
     world.add("plain", saying(*other, status="421 Misdirected", signed=False))
     world.ask("/safe/")
-    assert world.notices.known("u0").leaving_seconds is None
+    assert world.backpressure.state("u0").leaving_seconds is None
