--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -95,13 +95,13 @@
         candidates = [self._prompt_candidate(u, prompt, home) for u in holders]
         return self._cheapest(candidates, compare_all=compare_all)
 
-    def held_back_plain(self, service: str, tried: Collection[str]) -> list[str]:
+    def throttled_plain(self, service: str, tried: Collection[str]) -> list[str]:
         """Return the ids of those that `for_plain` leaves out as they take no request now."""
-        return self._held_back(self._of_plain(service, tried)) if self._gate.known else []
+        return self._throttled(self._of_plain(service, tried)) if self._gate.known else []
 
-    def held_back_holders(self, service: str, prompt: Prompt, tried: Collection[str]) -> list[str]:
+    def throttled_holders(self, service: str, prompt: Prompt, tried: Collection[str]) -> list[str]:
         """Return the ids of those that `for_prompt` leaves out as they take no request now."""
-        return self._held_back(self._holders(service, prompt, tried)) if self._gate.known else []
+        return self._throttled(self._holders(service, prompt, tried)) if self._gate.known else []
 
     def _of_plain(self, service: str, tried: Collection[str]) -> list[Upstream]:
         usable = self._directory.usable(service)
@@ -117,7 +117,7 @@
             return upstreams
         return [u for u in upstreams if self._gate.may_send(u.id)]
 
-    def _held_back(self, upstreams: list[Upstream]) -> list[str]:
+    def _throttled(self, upstreams: list[Upstream]) -> list[str]:
         return [u.id for u in upstreams if not self._gate.may_send(u.id)]
 
     def _plain_cost(self, upstream: Upstream) -> float:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -74,26 +74,26 @@
         found = self.chooser.for_prompt(call.service, prompt, call.attempts.tried)
         if found is not None:
             return self._in_time(call, prompt, found)
-        held_back = self.chooser.held_back_holders(call.service, prompt, call.attempts.tried)
-        if held_back:
-            self._check_queue(call, prompt, held_back)
-        with self.gate.waiting(held_back):
+        throttled = self.chooser.throttled_holders(call.service, prompt, call.attempts.tried)
+        if throttled:
+            self._check_queue(call, prompt, throttled)
+        with self.gate.waiting(throttled):
             self.needs.ask(call.service, prompt.unit, _patience(call))
             try:
                 return self._wait(call, prompt)
             finally:
                 self.needs.done(call.service, prompt.unit)
 
-    def _check_queue(self, call: Call, prompt: Prompt, held_back: list[str]) -> None:
+    def _check_queue(self, call: Call, prompt: Prompt, throttled: list[str]) -> None:
         """Raise `Refusal` where neither the holders that take none now nor a load serve it in time."""
         ready_in = self.residency.ready_in(str(prompt.unit))
         if ready_in is not None and ready_in <= _patience(call):
             return
-        if not self.gate.rate_limited(held_back):
+        if not self.gate.rate_limited(throttled):
             # The order giver may bring the unit to another upstream for this request.
             return
         try:
-            SendWait(self.gate, self.changes).check_queue(call, held_back, _patience(call))
+            SendWait(self.gate, self.changes).check_queue(call, throttled, _patience(call))
         except Refusal:
             self.needs.missed(call.service, prompt.unit)
             raise
@@ -139,14 +139,14 @@
             raise given_up(call, "stopping", "the instance stops", STOPPING_COME_BACK_SECONDS)
 
     def _check_retry_times(
-        self, call: Call, prompt: Prompt, held_back: list[str], ready_in: float | None
+        self, call: Call, prompt: Prompt, throttled: list[str], ready_in: float | None
     ) -> None:
         """Raise `Refusal` where rejections name later times than the request can wait for."""
-        retry_in = self.gate.retry_seconds(held_back)
-        if not held_back or retry_in <= max(0.0, _patience(call)):
+        retry_in = self.gate.retry_seconds(throttled)
+        if not throttled or retry_in <= max(0.0, _patience(call)):
             return
         self.needs.missed(call.service, prompt.unit)
-        detail = f"{','.join(held_back)} may be asked again in {retry_in:.2f} s"
+        detail = f"{','.join(throttled)} may be asked again in {retry_in:.2f} s"
         come_back = min(retry_in, ready_in or COME_BACK_SECONDS)
         raise given_up(call, "upstream_rejects", detail, come_back)
 
@@ -156,10 +156,10 @@
             raise given_up(call, "cut_off", f"no news of {prompt.unit}", come_back)
         left = _patience(call)
         ready_in = self.residency.ready_in(str(prompt.unit))
-        held_back = self.chooser.held_back_holders(call.service, prompt, call.attempts.tried)
+        throttled = self.chooser.throttled_holders(call.service, prompt, call.attempts.tried)
         if waited > TOLD_LOAD_SECONDS and (ready_in is None or ready_in > left):
-            self._check_retry_times(call, prompt, held_back, ready_in)
-        if ready_in is not None and not held_back:
+            self._check_retry_times(call, prompt, throttled, ready_in)
+        if ready_in is not None and not throttled:
             hopeless = ready_in > left
         elif self.residency.fresh:
             hopeless = left <= 0
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -68,11 +68,11 @@
         found = choose()
         if found is not None or call.attempts.failure is not None:
             return found
-        held_back = self._parts.chooser.held_back_plain(call.service, call.attempts.tried)
-        if not held_back:
+        throttled = self._parts.chooser.throttled_plain(call.service, call.attempts.tried)
+        if not throttled:
             return None
         return self._send_wait.candidate(
-            call, held_back, lambda: call.watch.remaining() - SERVICE_SECONDS, choose
+            call, throttled, lambda: call.watch.remaining() - SERVICE_SECONDS, choose
         )
 
     def _send(self, call: Call, upstream: Upstream) -> bool:
