--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -265,7 +265,7 @@
     fleet.rates.hear(news.rate_limits)
     fleet.directory.note_leaving(news.leaving, "order giver")
     if news.loads is not None:
-        fleet.outcomes.set_failing(news.failing)
+        fleet.outcomes.set_failure_ratios(news.failing)
         own = {entry.upstream: entry for entry in own_loads}
         fleet.load_tracker.set_others(
             {entry.upstream: _without(entry, own.get(entry.upstream)) for entry in news.loads}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -167,7 +167,7 @@
         extra = self._random.random() * NOISE_MS
         if upstream.failure_domain != self._failure_domain:
             extra += OTHER_DOMAIN_MS
-        extra += self._health.failing_part(upstream.id) * FAILURE_MS
+        extra += self._health.failure_ratio(upstream.id) * FAILURE_MS
         if self._health.avoided(upstream.id):
             extra += AVOIDED_MS
         return extra
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/health.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/health.py
@@ -82,9 +82,9 @@
         if reached is not None:
             log_event("upstream_reached", upstream=upstream_id)
 
-    def failing_part(self, upstream_id: str) -> float:
+    def failure_ratio(self, upstream_id: str) -> float:
         """Return which part of its requests an upstream fails, over all instances."""
-        return self._outcomes.failing_part(upstream_id)
+        return self._outcomes.failure_ratio(upstream_id)
 
     def avoided(self, upstream_id: str) -> bool:
         """Return whether another upstream is better."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/outcomes.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/outcomes.py
@@ -42,12 +42,12 @@
             failed, self._failed = self._failed, Counter()
         return [(key, answered[key], failed[key]) for key in answered.keys() | failed.keys()]
 
-    def set_failing(self, failing: dict[str, float]) -> None:
+    def set_failure_ratios(self, failing: dict[str, float]) -> None:
         """Take the failing parts over all instances, by upstream id."""
         self._failing = failing
         self._told_at = time.monotonic()
 
-    def failing_part(self, upstream_id: str) -> float:
+    def failure_ratio(self, upstream_id: str) -> float:
         """Return which part of its requests an upstream fails, 0 where nothing is told."""
         if time.monotonic() - self._told_at > TOLD_FRESH_SECONDS:
             return 0.0
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/failing_upstreams.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/failing_upstreams.py
@@ -46,7 +46,7 @@
         self._seen_by_id: dict[str, _Seen] = {}
         self._told: frozenset[str] = frozenset()
 
-    def heard(self, entries: Iterable[OutcomeEntry]) -> None:
+    def receive(self, entries: Iterable[OutcomeEntry]) -> None:
         """Take what an instance has counted since its last news."""
         now = time.monotonic()
         with self._lock:
@@ -56,7 +56,7 @@
                 scale = min(1.0, MOST_COUNTED / max(1.0, answered + failed))
                 self._seen_by_id[entry.upstream] = _Seen(answered * scale, failed * scale, now)
 
-    def parts(self) -> dict[str, float]:
+    def ratios(self) -> dict[str, float]:
         """Return the failing part of each upstream that fails enough to tell."""
         now = time.monotonic()
         with self._lock:
@@ -64,13 +64,13 @@
             self._seen_by_id = {
                 key: seen for key, seen in faded.items() if seen.answered + seen.failed > 0.1
             }
-        parts = {key: round(seen.part, 2) for key, seen in faded.items() if seen.part}
-        self._log(parts)
-        return parts
+        ratios = {key: round(seen.part, 2) for key, seen in faded.items() if seen.part}
+        self._log(ratios)
+        return ratios
 
-    def _log(self, parts: dict[str, float]) -> None:
-        for key in parts.keys() - self._told:
-            log_event("upstream_failing", level="WARNING", upstream=key, part=parts[key])
-        for key in self._told - parts.keys():
+    def _log(self, ratios: dict[str, float]) -> None:
+        for key in ratios.keys() - self._told:
+            log_event("upstream_failing", level="WARNING", upstream=key, part=ratios[key])
+        for key in self._told - ratios.keys():
             log_event("upstream_sound", upstream=key)
-        self._told = frozenset(parts)
+        self._told = frozenset(ratios)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -109,7 +109,7 @@
     def heard(self, news: InstanceNews) -> None:
         """Take an instance's news; called by the threads that receive them."""
         self._demand.heard(news)
-        self._failing.heard(news.outcomes)
+        self._failing.receive(news.outcomes)
         self._use.heard(news.instance, news.drawn)
         self._directory.note_leaving(news.leaving, "instance")
         if self._issuer.heard(news.instance, news.rate_limits):
@@ -269,7 +269,7 @@
             loads if regular else None,
             len(self._instances),
             store,
-            self._failing.parts() if regular else {},
+            self._failing.ratios() if regular else {},
             self._use.grants(self._limits_by_name()) if regular else None,
             self._some_peers() if all_held else [],
             limits,
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
@@ -82,10 +82,10 @@
 
     def _tell(self):
         for fleet in self.fleets:
-            self.giver.heard(OutcomeEntry(*counts) for counts in fleet.outcomes.drain())
-        parts = self.giver.parts()
+            self.giver.receive(OutcomeEntry(*counts) for counts in fleet.outcomes.drain())
+        parts = self.giver.ratios()
         for fleet in self.fleets:
-            fleet.outcomes.set_failing(parts)
+            fleet.outcomes.set_failure_ratios(parts)
 
 
 SHAPES = [
@@ -115,26 +115,26 @@
     deployment = Deployment(shape, clock)
     deployment.play(4.0, grey=shape.grey)
     deployment.play(10.0, grey=0)
-    assert deployment.giver.parts() == {}
+    assert deployment.giver.ratios() == {}
 
 
 def test_failures_that_only_one_instance_sees_do_not_condemn(clock):
     # One instance behind a bad link loses all that it sends; the upstreams are sound.
     giver = FailingUpstreams()
-    giver.heard([OutcomeEntry("u0", 0, 3)])
-    giver.heard([OutcomeEntry("u0", 60, 0)])
-    assert giver.parts() == {}
+    giver.receive([OutcomeEntry("u0", 0, 3)])
+    giver.receive([OutcomeEntry("u0", 60, 0)])
+    assert giver.ratios() == {}
 
 
 def test_a_single_failure_tells_nothing(clock):
     giver = FailingUpstreams()
-    giver.heard([OutcomeEntry("u0", 0, 1)])
-    assert giver.parts() == {}
+    giver.receive([OutcomeEntry("u0", 0, 1)])
+    assert giver.ratios() == {}
 
 
 def test_parts_that_are_no_longer_told_are_forgotten(clock):
     fleet = new_fleet()
-    fleet.outcomes.set_failing({"u0": 0.5})
-    assert fleet.health.failing_part("u0") == 0.5
+    fleet.outcomes.set_failure_ratios({"u0": 0.5})
+    assert fleet.health.failure_ratio("u0") == 0.5
     clock[0] += 2.0
-    assert fleet.health.failing_part("u0") == 0.0
+    assert fleet.health.failure_ratio("u0") == 0.0
