--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -51,7 +51,7 @@
         routes,
         lambda: min(reads.configuration.age, route_news.age),
         lambda: KnownLease(lease.row_version, lease.record),
-        fleet.rates.hear_peer,
+        fleet.rates.receive_from_peer,
     )
     behind = Lasting(BEHIND_SECONDS)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -175,7 +175,7 @@
             outcomes,
             limiter.tell(all_of_it=introduce),
             peers.desk.address,
-            fleet.rates.tell(all_of_it=introduce),
+            fleet.rates.updates(full=introduce),
             fleet.directory.leaving_unlisted(),
             fleet.retry_times.pending(),
         )
@@ -216,7 +216,7 @@
     peers = build_peers(settings, routes, reads, route_news, lease, fleet)
     link = GiverLink(lease, me, make_news, on_giver_news, giver.heard)
     needs.on_new_wait(link.wake)
-    fleet.rates.on_news(link.wake)
+    fleet.rates.on_update(link.wake)
 
     def follow_lease() -> None:
         # The giver's news tell that it is there: its row is read only without them.
@@ -262,7 +262,7 @@
     }
     take = fleet.residency.replace if news.all_held else fleet.residency.update
     take(held, news.ready_in, news.fence)
-    fleet.rates.hear(news.rate_limits)
+    fleet.rates.receive(news.rate_limits)
     fleet.directory.note_leaving(news.leaving, "order giver")
     if news.loads is not None:
         fleet.outcomes.set_failure_ratios(news.failing)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
@@ -19,7 +19,7 @@
 WANTED_SECONDS = 1.0
 USED_HALF_SECONDS = 1.0
 # What an answer says is told for this long: a message may be lost.
-NEWS_SECONDS = 2.0
+CHANGE_FRESH_SECONDS = 2.0
 # An upstream that takes less is asked this often all the same: only answers tell that
 # its limit has ended.
 LEAST_PER_SECOND = 0.25
@@ -69,7 +69,7 @@
         # Over all instances, as told by the order giver.
         self._all_waiting: dict[str, int] = {}
 
-    def on_news(self, wake: Callable[[], None]) -> None:
+    def on_update(self, wake: Callable[[], None]) -> None:
         """Call ``wake`` when the order giver has to hear at once of a request or a limit."""
         self._wake = wake
 
@@ -151,10 +151,10 @@
         if before is not None and before.per_second is not None and sent_at > before.seen_at:
             self._take(upstream_id, RateLimit(None, self._clock(), observed=True), source)
 
-    def tell(self, *, all_of_it: bool = False) -> list[RateLimitEntry]:
+    def updates(self, *, full: bool = False) -> list[RateLimitEntry]:
         """Return what the order giver is told: what is new here, and what is asked for here.
 
-        With ``all_of_it`` all that is known: hundreds of instances that each told it
+        With ``full`` all that is known: hundreds of instances that each told it
         always would fill the order giver's link.
         """
         now = self._clock()
@@ -167,7 +167,7 @@
         return [
             entry
             for rate, entry in entries
-            if all_of_it or entry.wanted or entry.waiting or _is_news(rate, now)
+            if full or entry.wanted or entry.waiting or _is_news(rate, now)
         ]
 
     def drain_changed(self) -> list[RateLimitEntry]:
@@ -177,13 +177,13 @@
             changed, self._changed = self._changed, set()
             return [self._entry(key, self._by_id[key], now) for key in changed & self._by_id.keys()]
 
-    def hear_peer(self, entries: Iterable[RateLimitEntry]) -> None:
+    def receive_from_peer(self, entries: Iterable[RateLimitEntry]) -> None:
         """Take what another instance knows, where it is newer."""
         now = self._clock()
         for entry in entries:
             self._take_told(entry.upstream, RateLimit(entry.per_second, now - entry.age), "peer")
 
-    def hear(self, entries: Iterable[PermitEntry]) -> None:
+    def receive(self, entries: Iterable[PermitEntry]) -> None:
         """Take what the order giver tells and issues."""
         now = self._clock()
         for entry in filter(lambda one: self._listed(one.upstream), entries):
@@ -251,7 +251,7 @@
 
 
 def _is_news(rate: RateLimit, now: float) -> bool:
-    return rate.observed and now - rate.seen_at < NEWS_SECONDS
+    return rate.observed and now - rate.seen_at < CHANGE_FRESH_SECONDS
 
 
 def _named(per_second: float | None) -> float | str:
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
@@ -104,12 +104,12 @@
     rates.advertised(UPSTREAM, 2.0, "answer")
     rates.clock[0] += 1.0
     rates.lifted(UPSTREAM, rates.clock[0], "answer")
-    rates.hear([PermitEntry(UPSTREAM, 2.0, 0.5, 0, {})])
+    rates.receive([PermitEntry(UPSTREAM, 2.0, 0.5, 0, {})])
     assert rates.per_second(UPSTREAM) is None
-    rates.hear([PermitEntry(UPSTREAM, 3.0, 0.0, 0, {"one": 1})])
+    rates.receive([PermitEntry(UPSTREAM, 3.0, 0.0, 0, {"one": 1})])
     assert rates.per_second(UPSTREAM) is None
     rates.clock[0] += 0.1
-    rates.hear([PermitEntry(UPSTREAM, 3.0, 0.0, 0, {"one": 1})])
+    rates.receive([PermitEntry(UPSTREAM, 3.0, 0.0, 0, {"one": 1})])
     assert rates.per_second(UPSTREAM) == 3.0
     assert rates.draw(UPSTREAM)
     assert not rates.draw(UPSTREAM)
@@ -118,7 +118,7 @@
 def test_unused_permits_are_void_after_a_while(rates):
     # Guards against permits that are saved up and come all at once.
     rates.advertised(UPSTREAM, 2.0, "answer")
-    rates.hear([PermitEntry(UPSTREAM, 2.0, 0.0, 0, {"one": 2})])
+    rates.receive([PermitEntry(UPSTREAM, 2.0, 0.0, 0, {"one": 2})])
     rates.clock[0] += 1.1
     assert not rates.draw(UPSTREAM)
 
@@ -126,18 +126,18 @@
 def test_wait_counts_the_requests_of_all_instances(rates):
     # Guards against requests that are held although those before them take longer.
     rates.advertised(UPSTREAM, 2.0, "answer")
-    rates.hear([PermitEntry(UPSTREAM, 2.0, 0.0, 6, {})])
+    rates.receive([PermitEntry(UPSTREAM, 2.0, 0.0, 6, {})])
     assert rates.wait_seconds([UPSTREAM]) == 3.0
     with rates.waiting([UPSTREAM]):
-        assert [entry.waiting for entry in rates.tell()] == [1]
-    assert [entry.waiting for entry in rates.tell(all_of_it=True)] == [0]
+        assert [entry.waiting for entry in rates.updates()] == [1]
+    assert [entry.waiting for entry in rates.updates(full=True)] == [0]
 
 
 def test_upstream_that_is_gone_is_forgotten(rates):
     rates.advertised(UPSTREAM, 0.0, "answer")
     rates.forget({UPSTREAM})
     assert rates.may_send(UPSTREAM)
-    assert not rates.tell()
+    assert not rates.updates()
 
 
 def test_limit_of_an_upstream_that_has_left_is_not_taken():
@@ -148,19 +148,19 @@
     listed.clear()
     rates.forget({UPSTREAM})
     rates.advertised(UPSTREAM, 1.0, "answer")
-    rates.hear([PermitEntry(UPSTREAM, 1.0, 0.0, 0, {})])
+    rates.receive([PermitEntry(UPSTREAM, 1.0, 0.0, 0, {})])
     assert not rates.limited()
 
 
 def test_limit_that_nobody_asks_for_is_told_once(rates):
     # Guards against hundreds of instances that each tell the order giver always what it knows.
-    rates.hear([PermitEntry(UPSTREAM, 1.0, 0.0, 0, {})])
-    assert rates.tell() == []
-    assert [entry.upstream for entry in rates.tell(all_of_it=True)] == [UPSTREAM]
+    rates.receive([PermitEntry(UPSTREAM, 1.0, 0.0, 0, {})])
+    assert rates.updates() == []
+    assert [entry.upstream for entry in rates.updates(full=True)] == [UPSTREAM]
     rates.clock[0] += 0.1
     rates.advertised(UPSTREAM, 2.0, "answer")
-    assert [entry.per_second for entry in rates.tell()] == [2.0]
+    assert [entry.per_second for entry in rates.updates()] == [2.0]
     rates.clock[0] += 3.0
-    assert rates.tell() == []
+    assert rates.updates() == []
     rates.may_send(UPSTREAM)
-    assert [entry.wanted for entry in rates.tell()] == [True]
+    assert [entry.wanted for entry in rates.updates()] == [True]
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_rate_limits.py
@@ -19,7 +19,7 @@
 
 
 def issue(world, upstream, waiting=0, permits=0):
-    world.rates.hear([PermitEntry(upstream, 1.0, 0.0, waiting, {"": permits})])
+    world.rates.receive([PermitEntry(upstream, 1.0, 0.0, waiting, {"": permits})])
     world.changes.notify()
 
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
@@ -160,7 +160,7 @@
     here, there = RateLimits(), RateLimits()
     routes = CurrentRoutes()
     desk = PeerDesk(
-        "127.0.0.1", 0, routes, lambda: 0.1, lambda: KnownLease(7, None), there.hear_peer
+        "127.0.0.1", 0, routes, lambda: 0.1, lambda: KnownLease(7, None), there.receive_from_peer
     )
     desk.start()
     questions = PeerQuestions(routes, lambda: False, lambda *_: None, lambda: "")
--- a/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
@@ -134,7 +134,7 @@
         for entries in filter(None, changed):
             for peer in self.random.sample(self.rates, min(FANOUT, len(self.rates))):
                 if self.random.random() >= self.history.lost_part:
-                    peer.hear_peer(entries)
+                    peer.receive_from_peer(entries)
 
     def _tell(self, instances: Iterable[int], *, regular: bool) -> None:
         """Let ``instances`` tell the order giver, and the order giver all."""
@@ -147,12 +147,12 @@
             rates = self.rates[number]
             if self.random.random() >= self.history.lost_part:
                 introduce = number not in self._introduced
-                self.issuer.heard(f"i{number}", rates.tell(all_of_it=introduce))
+                self.issuer.heard(f"i{number}", rates.updates(full=introduce))
                 self._introduced.add(number)
         issued = self.issuer.issue(all_limits=regular)
         for rates in self.rates:
             if self.random.random() >= self.history.lost_part:
-                rates.hear(issued)
+                rates.receive(issued)
 
     def most_in_window(self) -> int:
         """Return the most that came in one window from instances that had been told by its end."""
