--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -138,7 +138,7 @@
         instances.hear(news.instances)
         _take_news(news, told_loads, fleet)
         if news.grants is not None:
-            limiter.hear(news.grants)
+            limiter.receive(news.grants)
         peers.questions.hear(news.peers)
         if not lease.holds:
             lease.heard(news.store.lease_version)
@@ -173,7 +173,7 @@
             unreachable,
             so_far,
             outcomes,
-            limiter.tell(all_of_it=introduce),
+            limiter.updates(full=introduce),
             peers.desk.address,
             fleet.rates.updates(full=introduce),
             fleet.directory.leaving_unlisted(),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -110,7 +110,7 @@
         """Take an instance's news; called by the threads that receive them."""
         self._demand.heard(news)
         self._failing.receive(news.outcomes)
-        self._use.heard(news.instance, news.drawn)
+        self._use.receive(news.instance, news.drawn)
         self._directory.note_leaving(news.leaving, "instance")
         if self._issuer.heard(news.instance, news.rate_limits):
             self._wake.set()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
@@ -97,17 +97,16 @@
         with self._lock:
             self._account(workspace.name, self._clock()).give_back(cost)
 
-    def tell(self, *, all_of_it: bool = False) -> list[DrawnEntry]:
-        """Return the use that differs from what was told last, or ``all_of_it``."""
+    def updates(self, *, full: bool = False) -> list[DrawnEntry]:
+        """Return the use that differs from what was told last, or ``full``."""
         now = self._clock()
         with self._lock:
             told = [
-                account.tell(name, now, always=all_of_it)
-                for name, account in self._accounts.items()
+                account.tell(name, now, always=full) for name, account in self._accounts.items()
             ]
         return [entry for entry in told if entry is not None]
 
-    def hear(self, grants: Iterable[GrantEntry]) -> None:
+    def receive(self, grants: Iterable[GrantEntry]) -> None:
         """Take what the order giver grants; workspaces that it does not name stay as told."""
         now = self._clock()
         with self._lock:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_totals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_totals.py
@@ -72,7 +72,7 @@
             # What all instances are asked for of each workspace, as told to them last.
             self._offered_told: dict[str, float] = {}
 
-    def heard(self, instance: str, entries: Iterable[DrawnEntry]) -> None:
+    def receive(self, instance: str, entries: Iterable[DrawnEntry]) -> None:
         """Take the use that ``instance`` tells."""
         now = self._clock()
         with self._lock:
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_keys.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_keys.py
@@ -123,7 +123,7 @@
     limit = UseLimit(UseUnit.TOKENS, 0.01, 120.0, 60.0)
     world.configure(2, WorkspaceKeys({key_digest(KEY): Workspace("clerks", 1, limit)}))
     world.add("plain", sized(b"ok"))
-    world.limiter.hear([])
+    world.limiter.receive([])
     answers = [world.ask("/once/", headers=(BEARER,)) for _ in range(3)]
     assert [answer.status for answer in answers] == [200, 200, 429]
     assert float(answers[2].headers["Retry-After"]) > 0
@@ -135,7 +135,7 @@
     """Guards against a limit that is used up by refusals."""
     limit = UseLimit(UseUnit.TOKENS, 0.01, 120.0, 60.0)
     world.configure(2, WorkspaceKeys({key_digest(KEY): Workspace("clerks", 1, limit)}))
-    world.limiter.hear([])
+    world.limiter.receive([])
     answers = [world.ask("/once/", headers=(BEARER,)).status for _ in range(5)]
     assert answers == [503] * 5
 
--- a/packages/redwingscale-daemon/tests/unit/workspaces/test_use_totals.py
+++ b/packages/redwingscale-daemon/tests/unit/workspaces/test_use_totals.py
@@ -31,14 +31,14 @@
     for step in range(int(seconds * 4)):
         clock.now += 0.25
         for one in instances:
-            totals.heard(one, drawn(per_second * step / 4, per_second))
+            totals.receive(one, drawn(per_second * step / 4, per_second))
         granted.append(grant(totals))
     return [one for one in granted if one]
 
 
 def test_nothing_is_granted_before_all_were_heard(totals, clock):
     """Guards against news without grants, by which a limit in a flood seems to be free again."""
-    totals.heard("i1", drawn(0))
+    totals.receive("i1", drawn(0))
     clock.now += 0.3
     assert totals.grants(LIMITS) is None
 
@@ -63,7 +63,7 @@
     """Guards against a restart that gives the workspace back what it has used."""
     play(totals, clock, 500.0, 10)
     before = totals.left("clerks")
-    totals.heard("i1", drawn(300))
+    totals.receive("i1", drawn(300))
     assert totals.left("clerks") == before - 300
 
 
--- a/packages/redwingscale-standins/src/redwingscale_standins/use_limits/ways.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/use_limits/ways.py
@@ -31,8 +31,8 @@
 
     def __init__(self, instances: int, clock: Clock, source: random.Random) -> None:
         self._limiter = UseLimiter(lambda: instances, SLACK_TOKENS, clock, source)
-        self.tell = self._limiter.tell
-        self.hear = self._limiter.hear
+        self.tell = self._limiter.updates
+        self.hear = self._limiter.receive
 
     def lets_in(self, workspace: Workspace, tokens: int) -> bool:
         """Return whether a request may run, and count it."""
--- a/packages/redwingscale-standins/src/redwingscale_standins/use_limits/world.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/use_limits/world.py
@@ -179,7 +179,7 @@
         entries = self._ways[index].tell()
         self.counts.entries += len(entries)
         if not self._silent(index):
-            self._deliver(partial(self._totals.heard, f"i{index}", entries))
+            self._deliver(partial(self._totals.receive, f"i{index}", entries))
 
     def _grant(self) -> None:
         self._at(self._clock.now + TELL_SECONDS, self._grant)
