--- a/benchmarks/giver_news.py
+++ b/benchmarks/giver_news.py
@@ -8,7 +8,7 @@
 import time
 
 import msgspec
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream import ResidentModel, Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
@@ -70,7 +70,7 @@
         for view in views
     ]
     loads = [LoadEntry(view.upstream.id, 7, 12_000) for view in views]
-    store = StoreNews(123_456, ListTold([], [], 0.31, 2**63, 123_456), 42, 0.72)
+    store = StoreNews(123_456, ListUpdate([], [], 0.31, 2**63, 123_456), 42, 0.72)
 
     def giver(entries: list[HeldEntry], sums: list[LoadEntry] | None) -> GiverNews:
         return GiverNews(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -149,7 +149,7 @@
         table = routes.get()
         return StoreNews(
             lease.row_version,
-            changes.tell(fleet.directory, reads.upstreams.age),
+            changes.make_update(fleet.directory, reads.upstreams.age),
             table.version if table else 0,
             reads.configuration.age,
         )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_news.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_news.py
@@ -4,7 +4,7 @@
 
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 
 # Of the time after which an upstream that leaves gets no new work. The giver reads twice
@@ -37,15 +37,15 @@
         self._version = -1
         self._stood_in = False
 
-    def take(self, fence: int, told: ListTold) -> None:
+    def take(self, fence: int, update: ListUpdate) -> None:
         """Take what the giver with ``fence`` tells."""
         now = time.monotonic()
         if fence != self._fence:
             self._fence, self._fence_at = fence, now
-        self._read_at = now - told.age
-        self._digest, self._version = told.digest, told.version
-        if told.changed or told.gone:
-            self._directory.update(told.changed, told.gone, told.version)
+        self._read_at = now - update.age
+        self._digest, self._version = update.digest, update.version
+        if update.changed or update.gone:
+            self._directory.update(update.changed, update.gone, update.version)
 
     def stands_in(self, last_read_at: float) -> bool:
         """Return whether an instance that has read the list at ``last_read_at`` need not now."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_told.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_update.py
@@ -5,7 +5,7 @@
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 
 
-class ListTold(msgspec.Struct, array_like=True):
+class ListUpdate(msgspec.Struct, array_like=True):
     """What has ``changed`` or ``gone`` in the last seconds.
 
     The list was read ``age`` seconds ago, as of the rows' ``version``. ``digest`` is that
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/list_changes.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/list_changes.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from redwingscale_daemon._internal.fleet.list_digest import list_digest, listing
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 
@@ -42,13 +42,13 @@
         self._known = {key: _Known(one, float("-inf")) for key, one in by_id.items()}
         self._first = [*by_id]
 
-    def tell(self, directory: UpstreamDirectory, age: float) -> ListTold:
+    def make_update(self, directory: UpstreamDirectory, age: float) -> ListUpdate:
         """Return what to tell of ``directory``, whose list was read ``age`` seconds ago."""
         copy = directory.copy
         listed = copy.listed()
         changed, gone = self.of(listed, copy.kept)
         digest = list_digest(listed) if copy.kept else copy.digest
-        return ListTold(changed, gone, age, digest, copy.version)
+        return ListUpdate(changed, gone, age, digest, copy.version)
 
     def of(
         self, listed: Iterable[Upstream], kept: Collection[str] = ()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.rate_limit_messages import PermitEntry, RateLimitEntry
 from redwingscale_daemon._internal.workspaces.use_messages import DrawnEntry, GrantEntry
 
@@ -122,7 +122,7 @@
     """
 
     lease_version: int
-    upstreams: ListTold
+    upstreams: ListUpdate
     configuration: int
     configuration_age: float
 
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_leaving_in_time.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_leaving_in_time.py
@@ -8,7 +8,7 @@
 from redwingscale_daemon._internal.fleet.list_follower import ListFollower
 from redwingscale_daemon._internal.fleet.list_news import ListNews
 from redwingscale_daemon._internal.fleet.list_reads import LOOK_SECONDS, ListReads
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.own_reports import SILENT_SECONDS
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.platform.store_client import ANSWER_SECONDS
@@ -81,7 +81,7 @@
 
     def hear():
         heard_at[0] = clock.now
-        news.take(1, ListTold([], [], 0.0, directory.copy.digest, directory.copy.version))
+        news.take(1, ListUpdate([], [], 0.0, directory.copy.digest, directory.copy.version))
 
     for _ in range(STEPS):
         follower.step()
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_list_after_a_cut.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_list_after_a_cut.py
@@ -12,7 +12,7 @@
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.list_follower import ListFollower
 from redwingscale_daemon._internal.fleet.list_news import ListNews
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.store.link_state import LinkState
 from redwingscale_daemon._internal.store.rows import RowKey, Snapshot, StoredRow
@@ -119,7 +119,7 @@
         super().__init__(store)
         self.fence = fence
         self._changes = ListChanges()
-        self._decoder = msgspec.msgpack.Decoder(ListTold)
+        self._decoder = msgspec.msgpack.Decoder(ListUpdate)
 
     def needless(self, last_read_at):
         return False
@@ -129,7 +129,7 @@
         self._changes = ListChanges()
 
     def tell(self):
-        told = self._changes.tell(self.directory, self.state.age)
+        told = self._changes.make_update(self.directory, self.state.age)
         return self._decoder.decode(msgspec.msgpack.encode(told))
 
 
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_list_news.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_list_news.py
@@ -6,7 +6,7 @@
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.list_digest import list_digest
 from redwingscale_daemon._internal.fleet.list_news import ListNews
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 
@@ -43,7 +43,7 @@
 
 def unchanged(directory, age):
     """News of a giver that knows the same list."""
-    return ListTold([], [], age, directory.copy.digest, 0)
+    return ListUpdate([], [], age, directory.copy.digest, 0)
 
 
 def ids(directory):
@@ -51,12 +51,12 @@
 
 
 def test_upstream_that_the_giver_saw_leaving_gets_no_new_work(news, directory):
-    news.take(1, ListTold([upstream("u0", leaving=True)], [], 0.1, 0, 0))
+    news.take(1, ListUpdate([upstream("u0", leaving=True)], [], 0.1, 0, 0))
     assert ids(directory) == {"u1"}
 
 
 def test_upstream_that_the_giver_saw_go_is_forgotten(news, directory):
-    news.take(1, ListTold([upstream("u2")], ["u0"], 0.1, 0, 0))
+    news.take(1, ListUpdate([upstream("u2")], ["u0"], 0.1, 0, 0))
     assert ids(directory) == {"u1", "u2"}
 
 
@@ -85,7 +85,7 @@
     directory.replace([*directory.all(), upstream("u3")])
     assert not news.stands_in(read_at)
     without = list_digest([upstream("u0"), upstream("u1")])
-    news.take(1, ListTold([], ["u3"], 0.1, without, 0))
+    news.take(1, ListUpdate([], ["u3"], 0.1, without, 0))
     assert news.stands_in(read_at)
 
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_giver_news.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_giver_news.py
@@ -6,7 +6,7 @@
 import pytest
 from redwingscale_daemon._internal.composition.swaps import _take_news
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.load_tracker import Load
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.route_table import IngressLimits, RouteTable
@@ -26,7 +26,7 @@
 
 from .conftest import SERVICE, upstream
 
-NOTHING_READ = StoreNews(1, ListTold([], [], 0.0, 0, 0), 1, 0.0)
+NOTHING_READ = StoreNews(1, ListUpdate([], [], 0.0, 0, 0), 1, 0.0)
 
 
 class Hub:
@@ -48,7 +48,7 @@
     ceiling = LoadCeiling(0.0, 5.0)
 
     def read(changes):
-        return StoreNews(1, changes.tell(fleet.directory, 0.1), 1, 0.1)
+        return StoreNews(1, changes.make_update(fleet.directory, 0.1), 1, 0.1)
 
     return OrderGiver(right, routes, fleet.directory, worker, Hub(), ceiling, read, link_mbps)
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_late_news.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_late_news.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.rate_limit_messages import PermitEntry
 from redwingscale_daemon._internal.swaps.giver_hub import GiverHub
 from redwingscale_daemon._internal.swaps.giver_lease import GiverRecord
@@ -18,7 +18,7 @@
 HELD_SECONDS = 1.0
 # Of the time that news were held up, what may not be told from a calm link's delay.
 UNSEEN_SECONDS = 0.2
-STORE = StoreNews(1, ListTold([], [], 0.0, 0, 0), 1, 0.0)
+STORE = StoreNews(1, ListUpdate([], [], 0.0, 0, 0), 1, 0.0)
 NEWS = GiverNews("giver", 1, [], False, {}, None, 1, STORE)
 
 
