--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -103,7 +103,7 @@
     own_reports: OwnReports,
 ) -> tuple[Periodic, ...]:
     list_reads = ListReads(
-        swaps.gives, swaps.list_news.stands_in, lambda: own_reports.giver_silent, bounds.leave
+        swaps.gives, swaps.list_news.replaces_read, lambda: own_reports.giver_silent, bounds.leave
     )
     route_follower = RouteFollower(
         store,
@@ -122,7 +122,7 @@
         discovery.decode_upstream,
         fleet.directory,
         reads.upstreams,
-        list_reads.needless,
+        list_reads.not_due,
     )
     return (
         Periodic("configuration", 0.0, route_follower.step),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -8,7 +8,7 @@
 from redwingscale_daemon._internal.composition.store_reads import StoreReads
 from redwingscale_daemon._internal.exceptions import PlatformError
 from redwingscale_daemon._internal.fleet.fleet import Fleet
-from redwingscale_daemon._internal.fleet.list_news import ListNews
+from redwingscale_daemon._internal.fleet.list_update_tracker import ListUpdateTracker
 from redwingscale_daemon._internal.fleet.load_tracker import Load
 from redwingscale_daemon._internal.lifecycle.ingress_instance import Task
 from redwingscale_daemon._internal.platform import engine, exchange
@@ -72,7 +72,7 @@
     release: Callable[[], None]
     instances: Callable[[], int]
     gives: Callable[[], bool]
-    list_news: ListNews
+    list_news: ListUpdateTracker
     route_news: RouteNews
     fetch_told: Callable[[], bool]
 
@@ -128,7 +128,7 @@
     # What callers ask for here, for order givers that take over later.
     own_demand = Demand()
     bounds = settings.bounds
-    list_news = ListNews(fleet.directory, bounds.leave)
+    list_news = ListUpdateTracker(fleet.directory, bounds.leave)
     route_news = RouteNews(bounds.configuration)
     # What this instance has told last: the giver's sums hold it.
     told_loads: list[LoadEntry] = []
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_follower.py
@@ -31,7 +31,7 @@
         decode: Decode,
         directory: UpstreamDirectory,
         state: LinkState,
-        needless: Callable[[float], bool] = lambda _: False,
+        not_due: Callable[[float], bool] = lambda _: False,
     ) -> None:
         self._store = store
         self._table = table
@@ -39,7 +39,7 @@
         self._directory = directory
         self._state = state
         # Whether the giver's news stand in for a read, by the time of the last one.
-        self._needless = needless
+        self._not_due = not_due
         self._retry = Backoff(first_at_once=True)
         # What was wrong with entries that name no upstream, by their name.
         self._faults_by_name: dict[str, str] = {}
@@ -52,7 +52,7 @@
 
         What is known stays in use while the store is away.
         """
-        if self._needless(self._state.answered_at) or not self._retry.due:
+        if self._not_due(self._state.answered_at) or not self._retry.due:
             return
         try:
             snapshot = self._store.read(self._table, "")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
@@ -23,22 +23,22 @@
 
     def __init__(
         self,
-        gives: Callable[[], bool],
-        stands_in: Callable[[float], bool],
+        is_leader: Callable[[], bool],
+        replaces_read: Callable[[float], bool],
         giver_silent: Callable[[], bool],
         leave_seconds: float = 2.0,
     ) -> None:
         # Whether this instance reads for all.
-        self._gives = gives
+        self._is_leader = is_leader
         # Whether the giver's news stand in for a read, by the time of the last one.
-        self._stands_in = stands_in
+        self._replaces_read = replaces_read
         self._giver_silent = giver_silent
         self._least_seconds = leave_seconds * OWN_LIST_PART
 
-    def needless(self, last_read_at: float) -> bool:
+    def not_due(self, last_read_at: float) -> bool:
         """Return whether no read is due, by the monotonic time of the last one."""
         since = time.monotonic() - last_read_at
-        if self._gives():
+        if self._is_leader():
             return since < READ_FOR_ALL_SECONDS
         soon = since < self._least_seconds
-        return soon or (self._stands_in(last_read_at) and not self._giver_silent())
+        return soon or (self._replaces_read(last_read_at) and not self._giver_silent())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_news.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_update_tracker.py
@@ -16,7 +16,7 @@
 FULL_READ_SECONDS = 20.0
 
 
-class ListNews:
+class ListUpdateTracker:
     """Applies the giver's changes, and tells whether they can stand in for own reads.
 
     Each instance's own read of the list in each second is most of what a large
@@ -47,7 +47,7 @@
         if update.changed or update.gone:
             self._directory.update(update.changed, update.gone, update.version)
 
-    def stands_in(self, last_read_at: float) -> bool:
+    def replaces_read(self, last_read_at: float) -> bool:
         """Return whether an instance that has read the list at ``last_read_at`` need not now."""
         now = time.monotonic()
         copy = self._directory.copy
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_leaving_in_time.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_leaving_in_time.py
@@ -6,9 +6,9 @@
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.list_follower import ListFollower
-from redwingscale_daemon._internal.fleet.list_news import ListNews
 from redwingscale_daemon._internal.fleet.list_reads import LOOK_SECONDS, ListReads
 from redwingscale_daemon._internal.fleet.list_update import ListUpdate
+from redwingscale_daemon._internal.fleet.list_update_tracker import ListUpdateTracker
 from redwingscale_daemon._internal.fleet.own_reports import SILENT_SECONDS
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.platform.store_client import ANSWER_SECONDS
@@ -69,19 +69,19 @@
 ):
     # Guards against requests that are lost with an upstream whose leaving was confirmed.
     store, directory, state = Store(clock), new_fleet().directory, LinkState("upstreams")
-    news = ListNews(directory, leave_seconds)
+    tracker = ListUpdateTracker(directory, leave_seconds)
     heard_at = [clock.now]
     reads = ListReads(
         lambda: False,
-        news.stands_in,
+        tracker.replaces_read,
         lambda: clock.now - heard_at[0] > SILENT_SECONDS,
         leave_seconds,
     )
-    follower = ListFollower(store, "servers", decode, directory, state, reads.needless)
+    follower = ListFollower(store, "servers", decode, directory, state, reads.not_due)
 
     def hear():
         heard_at[0] = clock.now
-        news.take(1, ListUpdate([], [], 0.0, directory.copy.digest, directory.copy.version))
+        tracker.take(1, ListUpdate([], [], 0.0, directory.copy.digest, directory.copy.version))
 
     for _ in range(STEPS):
         follower.step()
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_list_after_a_cut.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_list_after_a_cut.py
@@ -11,8 +11,8 @@
 from redwingscale_daemon._internal.fleet import upstream_directory
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.list_follower import ListFollower
-from redwingscale_daemon._internal.fleet.list_news import ListNews
 from redwingscale_daemon._internal.fleet.list_update import ListUpdate
+from redwingscale_daemon._internal.fleet.list_update_tracker import ListUpdateTracker
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.store.link_state import LinkState
 from redwingscale_daemon._internal.store.rows import RowKey, Snapshot, StoredRow
@@ -95,13 +95,13 @@
         self.behind = False
         self.directory = new_fleet().directory
         self.state = LinkState("upstreams")
-        self.news = ListNews(self.directory)
+        self.tracker = ListUpdateTracker(self.directory)
         self.follower = ListFollower(
-            self, "servers", decode, self.directory, self.state, self.needless
+            self, "servers", decode, self.directory, self.state, self.not_due
         )
 
-    def needless(self, last_read_at):
-        return self.news.stands_in(last_read_at)
+    def not_due(self, last_read_at):
+        return self.tracker.replaces_read(last_read_at)
 
     def read(self, table, partition):
         if self.cut:
@@ -121,7 +121,7 @@
         self._changes = ListChanges()
         self._decoder = msgspec.msgpack.Decoder(ListUpdate)
 
-    def needless(self, last_read_at):
+    def not_due(self, last_read_at):
         return False
 
     def lay_down(self):
@@ -158,7 +158,7 @@
             self.instance.follower.step()
             told = self.giver.tell()
             if self.hears_giver:
-                self.instance.news.take(self.giver.fence, told)
+                self.instance.tracker.take(self.giver.fence, told)
 
     def check_instance(self):
         """Assert that an instance in touch uses nothing that has long left."""
@@ -293,7 +293,7 @@
     deployment.instance.cut = True
     deployment.run(STEP_SECONDS)
     deployment.instance.cut, deployment.hears_giver = False, True
-    deployment.instance.news.take(deployment.giver.fence, deployment.giver.tell())
+    deployment.instance.tracker.take(deployment.giver.fence, deployment.giver.tell())
     deployment.run(15.0)
     deployment.hears_giver = False
     deployment.store.remove("u1")
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_list_news.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_list_update_tracker.py
@@ -5,8 +5,8 @@
 import pytest
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.list_digest import list_digest
-from redwingscale_daemon._internal.fleet.list_news import ListNews
 from redwingscale_daemon._internal.fleet.list_update import ListUpdate
+from redwingscale_daemon._internal.fleet.list_update_tracker import ListUpdateTracker
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 
@@ -25,8 +25,8 @@
 
 
 @pytest.fixture
-def news(directory):
-    return ListNews(directory)
+def tracker(directory):
+    return ListUpdateTracker(directory)
 
 
 @pytest.fixture
@@ -50,43 +50,43 @@
     return {one.id for one in directory.usable("llm")}
 
 
-def test_upstream_that_the_giver_saw_leaving_gets_no_new_work(news, directory):
-    news.take(1, ListUpdate([upstream("u0", leaving=True)], [], 0.1, 0, 0))
+def test_upstream_that_the_giver_saw_leaving_gets_no_new_work(tracker, directory):
+    tracker.take(1, ListUpdate([upstream("u0", leaving=True)], [], 0.1, 0, 0))
     assert ids(directory) == {"u1"}
 
 
-def test_upstream_that_the_giver_saw_go_is_forgotten(news, directory):
-    news.take(1, ListUpdate([upstream("u2")], ["u0"], 0.1, 0, 0))
+def test_upstream_that_the_giver_saw_go_is_forgotten(tracker, directory):
+    tracker.take(1, ListUpdate([upstream("u2")], ["u0"], 0.1, 0, 0))
     assert ids(directory) == {"u1", "u2"}
 
 
-def test_news_stand_in_only_after_an_own_read_under_this_giver(news, directory, later):
+def test_news_stand_in_only_after_an_own_read_under_this_giver(tracker, directory, later):
     # The giver before knew an upstream that has gone in between. The new giver never
     # saw it and tells nothing of it: without an own read it would be used for ever.
     read_at = time.monotonic()
     later(0.1)
-    news.take(1, unchanged(directory, 0.1))
-    assert not news.stands_in(read_at)
+    tracker.take(1, unchanged(directory, 0.1))
+    assert not tracker.replaces_read(read_at)
     later(0.1)
-    assert news.stands_in(time.monotonic())
+    assert tracker.replaces_read(time.monotonic())
     read_at = time.monotonic()
     later(0.1)
-    news.take(2, unchanged(directory, 0.1))
-    assert not news.stands_in(read_at)
+    tracker.take(2, unchanged(directory, 0.1))
+    assert not tracker.replaces_read(read_at)
 
 
-def test_news_stand_in_only_for_a_copy_that_is_the_givers(news, directory, later):
+def test_news_stand_in_only_for_a_copy_that_is_the_givers(tracker, directory, later):
     # The instance knows an upstream that the giver doesn't, from whatever cause: told
     # of changes only, it would use that one until its next whole read.
-    news.take(1, unchanged(directory, 0.1))
+    tracker.take(1, unchanged(directory, 0.1))
     later(0.1)
     read_at = time.monotonic()
-    assert news.stands_in(read_at)
+    assert tracker.replaces_read(read_at)
     directory.replace([*directory.all(), upstream("u3")])
-    assert not news.stands_in(read_at)
+    assert not tracker.replaces_read(read_at)
     without = list_digest([upstream("u0"), upstream("u1")])
-    news.take(1, ListUpdate([], ["u3"], 0.1, without, 0))
-    assert news.stands_in(read_at)
+    tracker.take(1, ListUpdate([], ["u3"], 0.1, without, 0))
+    assert tracker.replaces_read(read_at)
 
 
 def test_digest_tells_lists_apart_and_knows_no_order():
@@ -104,25 +104,25 @@
     assert len(digests | {list_digest([first])}) == len(changed) + 2
 
 
-def test_giver_that_no_longer_reads_does_not_stand_in(news, directory, later):
+def test_giver_that_no_longer_reads_does_not_stand_in(tracker, directory, later):
     # The giver is cut off from the store and still tells its news: an upstream that
     # leaves now would get new work until somebody else reads the list.
-    news.take(1, unchanged(directory, 0.1))
+    tracker.take(1, unchanged(directory, 0.1))
     later(0.1)
     read_at = time.monotonic()
-    assert news.stands_in(read_at)
+    assert tracker.replaces_read(read_at)
     later(0.5)
-    news.take(1, unchanged(directory, 1.3))
-    assert not news.stands_in(read_at)
+    tracker.take(1, unchanged(directory, 1.3))
+    assert not tracker.replaces_read(read_at)
 
 
-def test_whole_list_is_read_now_and_then(news, directory, later):
-    news.take(1, unchanged(directory, 0.1))
+def test_whole_list_is_read_now_and_then(tracker, directory, later):
+    tracker.take(1, unchanged(directory, 0.1))
     later(0.1)
     read_at = time.monotonic()
     later(21.0)
-    news.take(1, unchanged(directory, 0.1))
-    assert not news.stands_in(read_at)
+    tracker.take(1, unchanged(directory, 0.1))
+    assert not tracker.replaces_read(read_at)
 
 
 def test_changes_are_told_for_some_seconds(later):
