--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -103,7 +103,7 @@
     own_reports: OwnReports,
 ) -> tuple[Periodic, ...]:
     list_reads = ListReads(
-        swaps.gives, swaps.list_news.replaces_read, lambda: own_reports.giver_silent, bounds.leave
+        swaps.gives, swaps.list_news.replaces_read, lambda: own_reports.leader_silent, bounds.leave
     )
     route_follower = RouteFollower(
         store,
@@ -165,7 +165,7 @@
         swaps.needs,
         open_requests,
         fleet.gate,
-        lambda: own_reports.come_back_seconds,
+        lambda: own_reports.caller_retry_seconds,
     )
     return Entry(
         routes,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
@@ -25,14 +25,14 @@
         self,
         is_leader: Callable[[], bool],
         replaces_read: Callable[[float], bool],
-        giver_silent: Callable[[], bool],
+        leader_silent: Callable[[], bool],
         leave_seconds: float = 2.0,
     ) -> None:
         # Whether this instance reads for all.
         self._is_leader = is_leader
         # Whether the giver's news stand in for a read, by the time of the last one.
         self._replaces_read = replaces_read
-        self._giver_silent = giver_silent
+        self._leader_silent = leader_silent
         self._least_seconds = leave_seconds * OWN_LIST_PART
 
     def not_due(self, last_read_at: float) -> bool:
@@ -41,4 +41,4 @@
         if self._is_leader():
             return since < READ_FOR_ALL_SECONDS
         soon = since < self._least_seconds
-        return soon or (self._replaces_read(last_read_at) and not self._giver_silent())
+        return soon or (self._replaces_read(last_read_at) and not self._leader_silent())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
@@ -95,40 +95,40 @@
         self._domain_cut_at = 0.0
 
     @property
-    def come_back_seconds(self) -> float | None:
+    def caller_retry_seconds(self) -> float | None:
         """When callers refused here had better come back, None while not cut off.
 
         A giver that has fallen silent is replaced within seconds, and hears of what waits
         then: only where the list can't be read either is waiting here in vain.
         """
         if not self.domain_cut:
-            return COME_BACK_SECONDS if self.untold and self._list.lost else None
+            return COME_BACK_SECONDS if self.without_updates and self._list.lost else None
         left = self._domain_cut_at + OUT_OF_ROTATION_SECONDS - time.monotonic()
         return max(COME_BACK_SECONDS, left)
 
     @property
-    def untold(self) -> bool:
+    def without_updates(self) -> bool:
         """Whether neither the order giver nor the list has told anything lately."""
         # Where the list is read less often its age alone would have every instance ask
         # every upstream in each pause of the giver; a failed read tells as soon.
-        return self.giver_silent and (
+        return self.leader_silent and (
             self._list.age > self._list_seconds
             or (self._list.lost and self._list.age > SILENT_SECONDS)
         )
 
     @property
-    def giver_silent(self) -> bool:
+    def leader_silent(self) -> bool:
         """Whether the order giver has told nothing lately."""
         return self._residency.age > SILENT_SECONDS
 
     @property
     def domain_cut(self) -> bool:
         """Whether the whole failure domain is cut off from the others."""
-        return self._domain_cut and self.untold
+        return self._domain_cut and self.without_updates
 
     def step(self) -> None:
         """Ask a round of upstreams, unless somebody tells what they hold."""
-        if not self.untold:
+        if not self.without_updates:
             self._see_domain_cut(False)
             self._end_pool()
             return
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limit_gossip.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limit_gossip.py
@@ -42,12 +42,12 @@
         self,
         rates: RateLimits,
         peers: Callable[[], Sequence[str]],
-        giver_silent: Callable[[], bool],
+        leader_silent: Callable[[], bool],
         tell: Tell,
     ) -> None:
         self._rates = rates
         self._peers = peers
-        self._giver_silent = giver_silent
+        self._leader_silent = leader_silent
         self._tell = tell
         self._wake = threading.Event()
         self._stopped = False
@@ -79,7 +79,7 @@
         changed = {entry.upstream: _Kept(entry, now) for entry in self._rates.drain_changed()}
         kept = self._kept_by_id | changed
         self._kept_by_id = {key: one for key, one in kept.items() if now - one.since < KEPT_SECONDS}
-        if self._kept_by_id and self._giver_silent():
+        if self._kept_by_id and self._leader_silent():
             self._pass_on([one.as_of(now) for one in self._kept_by_id.values()])
             self._kept_by_id = {}
 
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_own_reports.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_own_reports.py
@@ -78,7 +78,7 @@
     assert holders(fleet, "a") == ["u1"]
     assert holders(fleet, "c") == ["u0"]
     assert holders(fleet, "b") == []
-    assert own.come_back_seconds < 0.1
+    assert own.caller_retry_seconds < 0.1
     assert not own.domain_cut
 
 
@@ -89,7 +89,7 @@
     list_reads.lost = False
     own.step()
     assert reports.asked
-    assert own.come_back_seconds is None
+    assert own.caller_retry_seconds is None
 
 
 def test_nobody_is_asked_while_the_giver_or_the_list_tells(own, fleet, reports, list_reads):
@@ -140,7 +140,7 @@
     own.step()
     assert own.domain_cut
     # At once they would only meet another instance of the same domain.
-    assert 1.0 < own.come_back_seconds < 3.0
+    assert 1.0 < own.caller_retry_seconds < 3.0
     fleet.residency.replace({}, {})
     assert not own.domain_cut
     own.step()
