--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -111,10 +111,10 @@
         configuration.decode_configuration,
         routes,
         reads.configuration,
-        swaps.route_news,
+        swaps.route_versions,
         swaps.gives,
         bounds.configuration,
-        swaps.fetch_told,
+        swaps.fetch_announced,
     )
     list_follower = ListFollower(
         store,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -7,7 +7,7 @@
 from redwingscale_daemon._internal.fleet.fleet import Fleet
 from redwingscale_daemon._internal.lifecycle.ingress_instance import Task
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
-from redwingscale_daemon._internal.routes.route_news import RouteNews
+from redwingscale_daemon._internal.routes.route_version_tracker import RouteVersionTracker
 from redwingscale_daemon._internal.settings.ingress_settings import IngressSettings
 from redwingscale_daemon._internal.swaps.giver_lease import GiverLease
 from redwingscale_daemon._internal.swaps.peer_desk import KnownLease, PeerDesk
@@ -27,19 +27,19 @@
 
 
 class Peers(NamedTuple):
-    """``fetch_told`` brings a configuration that the order giver has told."""
+    """``fetch_announced`` brings a configuration that the order giver has told."""
 
     desk: PeerDesk
     questions: PeerQuestions
     tasks: tuple[Task, ...]
-    fetch_told: Callable[[], bool]
+    fetch_announced: Callable[[], bool]
 
 
 def build_peers(
     settings: IngressSettings,
     routes: CurrentRoutes,
     reads: StoreReads,
-    route_news: RouteNews,
+    route_versions: RouteVersionTracker,
     lease: GiverLease,
     fleet: Fleet,
 ) -> Peers:
@@ -49,7 +49,7 @@
         settings.host,
         first_port + DESK_PORT if first_port else 0,
         routes,
-        lambda: min(reads.configuration.age, route_news.age),
+        lambda: min(reads.configuration.age, route_versions.age),
         lambda: KnownLease(lease.row_version, lease.record),
         fleet.rates.receive_from_peer,
     )
@@ -58,16 +58,16 @@
     def untold() -> bool:
         """Whether a newer configuration or order giver may be there that this one misses."""
         table = routes.get()
-        if route_news.current:
+        if route_versions.current:
             known = table.version if table else 0
-            return behind.lasts(route_news.version > known)
+            return behind.lasts(route_versions.version > known)
         return reads.configuration.lost or reads.configuration.age > settings.bounds.configuration
 
-    def fetch_told() -> bool:
+    def fetch_announced() -> bool:
         record = lease.record
         if record is None or not record.desk_port:
             return False
-        return questions.fetch(f"{record.host}:{record.desk_port}", route_news.version)
+        return questions.fetch(f"{record.host}:{record.desk_port}", route_versions.version)
 
     questions = PeerQuestions(routes, untold, lease.told, lambda: desk.address)
     asking = Periodic("peer-questions", QUESTION_SECONDS, questions.step)
@@ -77,4 +77,4 @@
         lambda: not lease.holds and fleet.residency.age > GIVER_SILENT_SECONDS,
         questions.tell,
     )
-    return Peers(desk, questions, (desk, asking, gossip), fetch_told)
+    return Peers(desk, questions, (desk, asking, gossip), fetch_announced)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -13,7 +13,7 @@
 from redwingscale_daemon._internal.lifecycle.ingress_instance import Task
 from redwingscale_daemon._internal.platform import engine, exchange
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
-from redwingscale_daemon._internal.routes.route_news import RouteNews
+from redwingscale_daemon._internal.routes.route_version_tracker import RouteVersionTracker
 from redwingscale_daemon._internal.settings.ingress_settings import IngressSettings, Machine
 from redwingscale_daemon._internal.store.backoff import Backoff
 from redwingscale_daemon._internal.store.rows import RowStore
@@ -63,8 +63,8 @@
     """``instances`` tells how many instances share the deployment's budgets.
 
     ``gives`` tells whether this instance is the order giver, which reads the store
-    for all; ``list_news`` and ``route_news`` stand in for the reads of the others, and
-    ``fetch_told`` brings a configuration that it has told.
+    for all; ``list_news`` and ``route_versions`` stand in for the reads of the others, and
+    ``fetch_announced`` brings a configuration that it has told.
     """
 
     needs: Needs
@@ -73,8 +73,8 @@
     instances: Callable[[], int]
     gives: Callable[[], bool]
     list_news: ListUpdateTracker
-    route_news: RouteNews
-    fetch_told: Callable[[], bool]
+    route_versions: RouteVersionTracker
+    fetch_announced: Callable[[], bool]
 
 
 def engine_calls() -> EngineCalls:
@@ -129,7 +129,7 @@
     own_demand = Demand()
     bounds = settings.bounds
     list_news = ListUpdateTracker(fleet.directory, bounds.leave)
-    route_news = RouteNews(bounds.configuration)
+    route_versions = RouteVersionTracker(bounds.configuration)
     # What this instance has told last: the giver's sums hold it.
     told_loads: list[LoadEntry] = []
     instances = InstanceCount(lambda: lease.record.instances if lease.record else 0)
@@ -143,7 +143,7 @@
         if not lease.holds:
             lease.heard(news.store.lease_version)
             list_news.take(news.fence, news.store.upstreams)
-            route_news.take(news.store.configuration, news.store.configuration_age)
+            route_versions.take(news.store.configuration, news.store.configuration_age)
 
     def read_for_all(changes: ListChanges) -> StoreNews:
         table = routes.get()
@@ -213,7 +213,7 @@
         fleet.rates.limited,
     )
     fleet.directory.on_gone(giver.forget)
-    peers = build_peers(settings, routes, reads, route_news, lease, fleet)
+    peers = build_peers(settings, routes, reads, route_versions, lease, fleet)
     link = GiverLink(lease, me, make_news, on_giver_news, giver.heard)
     needs.on_new_wait(link.wake)
     fleet.rates.on_update(link.wake)
@@ -248,8 +248,8 @@
         instances=instances,
         gives=lambda: lease.holds,
         list_news=list_news,
-        route_news=route_news,
-        fetch_told=peers.fetch_told,
+        route_versions=route_versions,
+        fetch_announced=peers.fetch_announced,
     )
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_follower.py
@@ -8,8 +8,8 @@
 
 from redwingscale_daemon._internal.exceptions import HistoryGone, PlatformError
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
-from redwingscale_daemon._internal.routes.route_news import RouteNews
 from redwingscale_daemon._internal.routes.route_table import RouteTable
+from redwingscale_daemon._internal.routes.route_version_tracker import RouteVersionTracker
 from redwingscale_daemon._internal.store.backoff import Backoff
 from redwingscale_daemon._internal.store.link_state import LinkState
 from redwingscale_daemon._internal.store.rows import RowKey, RowStore, StoredRow
@@ -35,19 +35,19 @@
         decode: Decode,
         current: CurrentRoutes,
         state: LinkState,
-        news: RouteNews,
+        versions: RouteVersionTracker,
         reads_for_all: Callable[[], bool] = lambda: True,
         in_force_seconds: float = 2.0,
-        fetch_told: Callable[[], bool] = lambda: False,
+        fetch_announced: Callable[[], bool] = lambda: False,
     ) -> None:
         # Brings the version that was told from the one that told it, if it can.
-        self._fetch_told = fetch_told
+        self._fetch_announced = fetch_announced
         self._store = store
         self._row = row
         self._decode = decode
         self._current = current
         self._state = state
-        self._news = news
+        self._versions = versions
         # Whether this instance is the one that tells the others.
         self._reads_for_all = reads_for_all
         self._in_force_seconds = in_force_seconds
@@ -79,7 +79,7 @@
 
     def _stands_in(self) -> bool:
         known = self._current.get() is not None
-        stands_in = known and self._news.current and not self._reads_for_all()
+        stands_in = known and self._versions.current and not self._reads_for_all()
         if self._stood_in and not stands_in:
             self._reads_at_once = True
         self._log_source(stands_in)
@@ -92,19 +92,19 @@
         log_event(
             "configuration_source",
             source="order_giver" if stands_in else "own_reads",
-            told=self._news.version,
-            news_age=round(self._news.age, 3),
+            told=self._versions.version,
+            news_age=round(self._versions.age, 3),
             read_age=round(self._state.age, 3),
         )
 
     def _newer_told(self) -> bool:
         table = self._current.get()
-        seconds = min(LOOK_SECONDS, self._news.current_for)
-        if table is None or not self._news.wait_for_newer(table.version, seconds):
+        seconds = min(LOOK_SECONDS, self._versions.current_for)
+        if table is None or not self._versions.wait_for_newer(table.version, seconds):
             return False
         # The whole row: a waiting read could be answered by a connection gone silent.
         self._version = None
-        return not self._fetch_told()
+        return not self._fetch_announced()
 
     def _changes(self) -> Iterable[StoredRow]:
         if self._version is None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_news.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_version_tracker.py
@@ -19,7 +19,7 @@
     heard_at: float
 
 
-class RouteNews:
+class RouteVersionTracker:
     """Stands in for an instance's own waiting reads, which cost a call each second."""
 
     def __init__(self, in_force_seconds: float = 2.0) -> None:
--- a/packages/redwingscale-daemon/tests/unit/routes/test_change_in_time.py
+++ b/packages/redwingscale-daemon/tests/unit/routes/test_change_in_time.py
@@ -10,8 +10,8 @@
 )
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.route_follower import RouteFollower
-from redwingscale_daemon._internal.routes.route_news import RouteNews
 from redwingscale_daemon._internal.routes.route_table import IngressLimits, RouteTable
+from redwingscale_daemon._internal.routes.route_version_tracker import RouteVersionTracker
 from redwingscale_daemon._internal.store.link_state import LinkState
 from redwingscale_daemon._internal.store.rows import RowKey, Snapshot, StoredRow
 
@@ -70,7 +70,7 @@
     return Store(clock)
 
 
-def in_force_after(clock, store, news, in_force_seconds):
+def in_force_after(clock, store, versions, in_force_seconds):
     """Return how long version 2 takes that is confirmed just after the giver's last word."""
     routes = CurrentRoutes()
     follower = RouteFollower(
@@ -79,14 +79,14 @@
         decode,
         routes,
         LinkState("configuration"),
-        news,
+        versions,
         lambda: False,
         in_force_seconds,
     )
     follower.step()
-    news.take(1, 0.0)
+    versions.take(1, 0.0)
     follower.step()
-    news.take(1, 0.0)
+    versions.take(1, 0.0)
     confirmed_at, store.version, store.lost = clock.now, 2, 1
     while routes.get().version == 1:
         follower.step()
@@ -98,11 +98,11 @@
     clock, store, in_force_seconds
 ):
     # Guards against requests that are refused as unknown after their route was confirmed.
-    news = RouteNews(in_force_seconds)
+    versions = RouteVersionTracker(in_force_seconds)
 
     def wait_for_newer(version, seconds):
         clock.sleep(seconds)
-        return news.version > version
+        return versions.version > version
 
-    news.wait_for_newer = wait_for_newer
-    assert in_force_after(clock, store, news, in_force_seconds) <= in_force_seconds
+    versions.wait_for_newer = wait_for_newer
+    assert in_force_after(clock, store, versions, in_force_seconds) <= in_force_seconds
--- a/packages/redwingscale-daemon/tests/unit/routes/test_route_follower.py
+++ b/packages/redwingscale-daemon/tests/unit/routes/test_route_follower.py
@@ -4,8 +4,8 @@
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.route_follower import RouteFollower
-from redwingscale_daemon._internal.routes.route_news import RouteNews
 from redwingscale_daemon._internal.routes.route_table import IngressLimits, RouteTable
+from redwingscale_daemon._internal.routes.route_version_tracker import RouteVersionTracker
 from redwingscale_daemon._internal.store.link_state import LinkState
 from redwingscale_daemon._internal.store.rows import RowKey, Snapshot, StoredRow
 
@@ -44,8 +44,8 @@
 
 
 @pytest.fixture
-def news():
-    return RouteNews()
+def versions():
+    return RouteVersionTracker()
 
 
 @pytest.fixture
@@ -54,40 +54,40 @@
 
 
 @pytest.fixture
-def follower(store, news, routes):
+def follower(store, versions, routes):
     state = LinkState("configuration")
-    return RouteFollower(store, ROW, decode, routes, state, news, lambda: False)
+    return RouteFollower(store, ROW, decode, routes, state, versions, lambda: False)
 
 
-def test_nothing_is_read_while_the_giver_tells(follower, store, news):
+def test_nothing_is_read_while_the_giver_tells(follower, store, versions):
     follower.step()
-    news.take(1, 0.0)
+    versions.take(1, 0.0)
     follower.step()
     assert store.reads == ["read"]
 
 
-def test_newer_version_that_the_giver_tells_is_read_at_once(follower, store, news, routes):
+def test_newer_version_that_the_giver_tells_is_read_at_once(follower, store, versions, routes):
     follower.step()
     store.value = 2
-    news.take(2, 0.0)
+    versions.take(2, 0.0)
     follower.step()
     assert routes.get().version == 2
     assert store.reads == ["read", "read"]
 
 
-def test_giver_that_no_longer_reads_is_not_relied_on(follower, store, news):
+def test_giver_that_no_longer_reads_is_not_relied_on(follower, store, versions):
     # The giver is cut off from the store and goes on telling the version that it
     # knows: an operator's change would be in force only when it is replaced.
     follower.step()
-    news.take(1, 2.0)
+    versions.take(1, 2.0)
     follower.step()
     assert store.reads == ["read", "changes"]
 
 
-def test_newer_version_that_cannot_be_read_is_asked_for_again(follower, store, news, routes):
+def test_newer_version_that_cannot_be_read_is_asked_for_again(follower, store, versions, routes):
     follower.step()
     store.value, store.fail = 2, True
-    news.take(2, 0.0)
+    versions.take(2, 0.0)
     follower.step()
     store.fail = False
     follower.step()
@@ -95,19 +95,21 @@
 
 
 @pytest.mark.parametrize(("fetched", "reads"), [(True, 1), (False, 2)])
-def test_version_that_is_told_comes_from_the_giver_if_it_can(store, news, routes, fetched, reads):
+def test_version_that_is_told_comes_from_the_giver_if_it_can(
+    store, versions, routes, fetched, reads
+):
     """Guards against a call to the store by each instance for each version."""
 
-    def fetch_told():
+    def fetch_announced():
         return fetched and routes.offer(decode(b"2"))
 
     state = LinkState("configuration")
     follower = RouteFollower(
-        store, ROW, decode, routes, state, news, lambda: False, fetch_told=fetch_told
+        store, ROW, decode, routes, state, versions, lambda: False, fetch_announced=fetch_announced
     )
     follower.step()
     store.value = 2
-    news.take(2, 0.0)
+    versions.take(2, 0.0)
     follower.step()
     assert routes.get().version == 2
     assert len(store.reads) == reads
