--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -9,7 +9,7 @@
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.route_version_tracker import RouteVersionTracker
 from redwingscale_daemon._internal.settings.ingress_settings import IngressSettings
-from redwingscale_daemon._internal.swaps.giver_lease import GiverLease
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease
 from redwingscale_daemon._internal.swaps.peer_desk import KnownLease, PeerDesk
 from redwingscale_daemon._internal.swaps.peer_questions import PeerQuestions
 from redwingscale_daemon._internal.swaps.rate_limit_gossip import RateLimitGossip
@@ -40,7 +40,7 @@
     routes: CurrentRoutes,
     reads: StoreReads,
     route_versions: RouteVersionTracker,
-    lease: GiverLease,
+    lease: LeaderLease,
     fleet: Fleet,
 ) -> Peers:
     """Return the parts, not started."""
@@ -69,12 +69,12 @@
             return False
         return questions.fetch(f"{record.host}:{record.desk_port}", route_versions.version)
 
-    questions = PeerQuestions(routes, untold, lease.told, lambda: desk.address)
+    questions = PeerQuestions(routes, untold, lease.adopt_record, lambda: desk.address)
     asking = Periodic("peer-questions", QUESTION_SECONDS, questions.step)
     gossip = RateLimitGossip(
         fleet.rates,
         questions.known,
-        lambda: not lease.holds and fleet.residency.age > GIVER_SILENT_SECONDS,
+        lambda: not lease.is_leader and fleet.residency.age > GIVER_SILENT_SECONDS,
         questions.tell,
     )
     return Peers(desk, questions, (desk, asking, gossip), fetch_announced)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -19,9 +19,9 @@
 from redwingscale_daemon._internal.store.rows import RowStore
 from redwingscale_daemon._internal.swaps.demand import Demand
 from redwingscale_daemon._internal.swaps.giver_hub import GiverHub
-from redwingscale_daemon._internal.swaps.giver_lease import GiverLease, GiverRecord, LeaseTiming
 from redwingscale_daemon._internal.swaps.giver_link import GiverLink
 from redwingscale_daemon._internal.swaps.instance_count import InstanceCount
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling
 from redwingscale_daemon._internal.swaps.messages import (
@@ -104,10 +104,10 @@
     me = settings.instance
     news_port = settings.peer_ports[0]
     needs_port = news_port + 1 if news_port else 0
-    lease = GiverLease(
+    lease = LeaderLease(
         store,
         start,
-        lambda: GiverRecord(
+        lambda: LeaderRecord(
             me,
             settings.host,
             hub.news_port,
@@ -140,8 +140,8 @@
         if news.grants is not None:
             limiter.receive(news.grants)
         peers.questions.hear(news.peers)
-        if not lease.holds:
-            lease.heard(news.store.lease_version)
+        if not lease.is_leader:
+            lease.note_renewal(news.store.lease_version)
             list_news.take(news.fence, news.store.upstreams)
             route_versions.take(news.store.configuration, news.store.configuration_age)
 
@@ -220,7 +220,7 @@
 
     def follow_lease() -> None:
         # The giver's news tell that it is there: its row is read only without them.
-        if lease.holds:
+        if lease.is_leader:
             lease.step()
         elif (not fleet.residency.fresh or lease.record is None) and lease_retry.due:
             try:
@@ -246,7 +246,7 @@
         ),
         release=lease.release,
         instances=instances,
-        gives=lambda: lease.holds,
+        gives=lambda: lease.is_leader,
         list_news=list_news,
         route_versions=route_versions,
         fetch_announced=peers.fetch_announced,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_link.py
@@ -9,7 +9,7 @@
 import pynng
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.swaps.giver_lease import GiverLease, GiverRecord
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord
 from redwingscale_daemon._internal.swaps.messages import GiverNews, InstanceNews
 from redwingscale_daemon._internal.swaps.news_delay import NewsDelay
 
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        lease: GiverLease,
+        lease: LeaderLease,
         instance: str,
         make: MakeNews,
         on_news: OnNews,
@@ -54,7 +54,7 @@
         self._decoder = msgspec.msgpack.Decoder(GiverNews)
         self._wake = threading.Event()
         self._stopped = False
-        self._record: GiverRecord | None = None
+        self._record: LeaderRecord | None = None
         self._sockets: _Sockets | None = None
         self._heard_at = 0.0
         self._delay = NewsDelay()
@@ -137,7 +137,7 @@
         while not self._stopped:
             self._wake.wait(NEWS_SECONDS)
             self._wake.clear()
-            if self._lease.holds:
+            if self._lease.is_leader:
                 self._to_self(self._make(not self._introduced_to_self))
                 self._introduced_to_self = True
                 continue
@@ -159,7 +159,7 @@
         self._introduced_over = sockets
 
 
-def _dial(record: GiverRecord) -> _Sockets:
+def _dial(record: LeaderRecord) -> _Sockets:
     sub = pynng.Sub0(recv_timeout=_RECEIVE_MS, topics=b"")
     push = pynng.Push0()
     sub.dial(f"tcp://{record.host}:{record.news_port}", block=False)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_lease.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_lease.py
@@ -17,7 +17,7 @@
 MOST_CALLS_A_WATCH = 3
 
 
-class GiverRecord(msgspec.Struct):
+class LeaderRecord(msgspec.Struct):
     """The row's value; ``start`` is an id of the holder's process, new at each start."""
 
     instance: str
@@ -49,7 +49,7 @@
     standby_seconds: float = 0.0
 
 
-class GiverLease:
+class LeaderLease:
     """One row that its holder rewrites; whoever sees it unchanged for too long takes it.
 
     No clock is shared: the holder counts from before it sent the renewal, a
@@ -66,7 +66,7 @@
         self,
         store: RowStore,
         start: str,
-        describe: Callable[[], GiverRecord],
+        describe: Callable[[], LeaderRecord],
         timing: LeaseTiming,
         clock: Clock = lease_clock,
     ) -> None:
@@ -81,19 +81,19 @@
         self._seen_at = clock()
         # The newest version that the holder's news have told, and when first.
         self._heard = (ABSENT, -math.inf)
-        self._record: GiverRecord | None = None
+        self._record: LeaderRecord | None = None
         self._valid_until = -math.inf
         self._silent_until = -math.inf
         self._released = False
         self._fence = 0
 
     @property
-    def record(self) -> GiverRecord | None:
+    def record(self) -> LeaderRecord | None:
         """The holder as last read, None while none is known."""
         return self._record
 
     @property
-    def holds(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this instance is the order giver now."""
         return self._clock() < self._valid_until
 
@@ -118,7 +118,7 @@
         """The row's version as last read or written here."""
         return self._row_version
 
-    def heard(self, row_version: int) -> None:
+    def note_renewal(self, row_version: int) -> None:
         """Note the version of its newest renewal, as the holder's news tell it.
 
         While news come the row is not read. When they end, the lease counts from the
@@ -128,17 +128,17 @@
         if row_version > self._heard[0]:
             self._heard = (row_version, self._clock())
 
-    def told(self, row_version: int, record: GiverRecord) -> None:
+    def adopt_record(self, row_version: int, record: LeaderRecord) -> None:
         """Take the row as a peer knows it, where that is newer.
 
         An instance that the store turns away finds the next order giver so.
         """
-        if not self.holds and row_version > self._row_version:
+        if not self.is_leader and row_version > self._row_version:
             self._see(row_version, record)
 
     def step(self) -> None:
         """Renew the lease, or read the row and take it when it is due; raise `PlatformError`."""
-        if self.holds:
+        if self.is_leader:
             self._renew()
         else:
             self._read()
@@ -170,7 +170,7 @@
     def release(self) -> None:
         """Let another instance take over without waiting; take nothing any more."""
         self._released = True
-        if not self.holds:
+        if not self.is_leader:
             return
         self._valid_until = -math.inf
         ended = msgspec.structs.replace(self._describe(), released=True)
@@ -181,7 +181,7 @@
         else:
             log_event("giver_released", fence=self._fence)
 
-    def _write(self, record: GiverRecord) -> int | None:
+    def _write(self, record: LeaderRecord) -> int | None:
         return self._store.write(LEASE_ROW, msgspec.json.encode(record), self._row_version)
 
     def _renew(self) -> None:
@@ -224,7 +224,7 @@
             self._see(row.version, _record(row))
         return True
 
-    def _see(self, version: int, record: GiverRecord | None) -> None:
+    def _see(self, version: int, record: LeaderRecord | None) -> None:
         if version != self._row_version:
             self._row_version = version
             heard_version, heard_at = self._heard
@@ -234,7 +234,7 @@
         self._record = record
 
     def _may_take(self) -> bool:
-        if self.holds or self._released:
+        if self.is_leader or self._released:
             return False
         return self._takeable_in() <= 0
 
@@ -250,7 +250,7 @@
         lease = self._timing.lease_seconds
         return max(0.0, lease + lease / 4 + standby - unchanged)
 
-    def _mine(self, record: GiverRecord) -> bool:
+    def _mine(self, record: LeaderRecord) -> bool:
         return record.start == self._start
 
     def _take(self) -> None:
@@ -278,9 +278,9 @@
         return last_order + self._timing.quiet_seconds
 
 
-def _record(row: StoredRow) -> GiverRecord | None:
+def _record(row: StoredRow) -> LeaderRecord | None:
     try:
-        return msgspec.json.decode(row.value or b"", type=GiverRecord)
+        return msgspec.json.decode(row.value or b"", type=LeaderRecord)
     except msgspec.DecodeError as error:
         log_event("giver_row_invalid", level="WARNING", error=error)
         return None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_desk.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_desk.py
@@ -13,7 +13,7 @@
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.table_record import encode_table
 from redwingscale_daemon._internal.swaps.giver_hub import open_port
-from redwingscale_daemon._internal.swaps.giver_lease import GiverRecord
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
 
 _RECEIVE_MS = 1000
 
@@ -36,14 +36,14 @@
     table: bytes
     age: float
     lease_version: int
-    giver: GiverRecord | None
+    giver: LeaderRecord | None
 
 
 class KnownLease(NamedTuple):
     """The order giver's row as an instance knows it."""
 
     row_version: int
-    record: GiverRecord | None
+    record: LeaderRecord | None
 
 
 class PeerDesk:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_questions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_questions.py
@@ -12,7 +12,7 @@
 from redwingscale_daemon._internal.fleet.rate_limit_messages import RateLimitEntry
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.table_record import decode_table
-from redwingscale_daemon._internal.swaps.giver_lease import GiverRecord
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
 from redwingscale_daemon._internal.swaps.peer_desk import PeerAnswer, PeerQuestion
 
 MOST_PEERS = 32
@@ -31,7 +31,7 @@
         self,
         routes: CurrentRoutes,
         needed: Callable[[], bool],
-        learn_giver: Callable[[int, GiverRecord], None],
+        learn_giver: Callable[[int, LeaderRecord], None],
         own_address: Callable[[], str],
     ) -> None:
         self._routes = routes
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_late_news.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_late_news.py
@@ -7,8 +7,8 @@
 from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.rate_limit_messages import PermitEntry
 from redwingscale_daemon._internal.swaps.giver_hub import GiverHub
-from redwingscale_daemon._internal.swaps.giver_lease import GiverRecord
 from redwingscale_daemon._internal.swaps.giver_link import GiverLink
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
 from redwingscale_daemon._internal.swaps.messages import GiverNews, InstanceNews, StoreNews
 from redwingscale_daemon._internal.swaps.news_delay import NewsDelay
 from redwingscale_standins.soak.faulty_link import FaultyLink
@@ -23,7 +23,7 @@
 
 
 class Lease:
-    holds = False
+    is_leader = False
 
     def __init__(self, record):
         self.record = record
@@ -48,7 +48,7 @@
 def heard(hub, path):
     """News as an instance takes them over ``path``."""
     told = []
-    lease = Lease(GiverRecord("giver", "127.0.0.1", path.port, hub.needs_port, "start"))
+    lease = Lease(LeaderRecord("giver", "127.0.0.1", path.port, hub.needs_port, "start"))
     link = GiverLink(
         lease, "one", lambda _: InstanceNews("one", [], [], [], []), told.append, lambda _: None
     )
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_giver_lease.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_lease.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable, WriteUnknown
-from redwingscale_daemon._internal.swaps.giver_lease import GiverLease, GiverRecord, LeaseTiming
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
 
 TIMING = LeaseTiming(lease_seconds=2.0, order_seconds=1.2, quiet_seconds=3.0)
 
@@ -24,8 +24,8 @@
 @pytest.fixture
 def make_lease(store, clock):
     def make(name, start="1", timing=TIMING):
-        record = GiverRecord(name, "127.0.0.1", 1, 2, f"{name}-{start}")
-        return GiverLease(store, record.start, lambda: record, timing, clock)
+        record = LeaderRecord(name, "127.0.0.1", 1, 2, f"{name}-{start}")
+        return LeaderLease(store, record.start, lambda: record, timing, clock)
 
     return make
 
@@ -83,7 +83,7 @@
     second.step()
     first.step()
     assert first.fence() is None
-    assert not first.holds
+    assert not first.is_leader
 
 
 def test_lost_answer_to_a_renewal_keeps_the_lease(make_lease, clock, store):
@@ -97,7 +97,7 @@
     clock.now += 0.5
     lease.step()
     lease.step()
-    assert lease.holds
+    assert lease.is_leader
     assert lease.fence() == 1
 
 
@@ -132,7 +132,7 @@
     assert first.fence() is None
     clock.now += 0.1
     second.step()
-    assert second.holds
+    assert second.is_leader
     assert second.fence() is None
 
 
@@ -143,7 +143,7 @@
     again = make_lease("a", "2")
     again.step()
     assert again.fence() is None
-    assert not again.holds
+    assert not again.is_leader
 
 
 def test_row_that_cannot_be_read_is_no_holder(make_lease, store):
@@ -152,7 +152,7 @@
     store.row = store.row._replace(value=msgspec.json.encode("nonsense"))
     other = make_lease("b")
     other.step()
-    assert other.holds
+    assert other.is_leader
 
 
 def test_giver_that_has_released_takes_nothing_again(make_lease, clock):
@@ -164,7 +164,7 @@
     for _ in range(10):
         clock.now += 0.5
         lease.step()
-        assert not lease.holds
+        assert not lease.is_leader
         assert lease.fence() is None
 
 
@@ -178,14 +178,14 @@
     first.release()
     clock.now += 0.1
     second.step()
-    assert second.holds
+    assert second.is_leader
     store.fail = PlatformUnavailable("down")
     clock.now += TIMING.lease_seconds + 0.1
     with pytest.raises(PlatformUnavailable):
         second.step()
     store.fail = None
     second.step()
-    assert second.holds
+    assert second.is_leader
     while second.fence() is None:
         clock.now += 0.1
         second.step()
@@ -202,14 +202,14 @@
     second.step()
     clock.now += 0.5
     first.step()
-    second.heard(first.row_version)
+    second.note_renewal(first.row_version)
     heard_at = clock.now
     clock.now += 2.4
     second.step()
-    assert not second.holds
+    assert not second.is_leader
     clock.now += 0.2
     second.step()
-    assert second.holds
+    assert second.is_leader
     while second.fence() is None:
         clock.now += 0.1
         second.step()
@@ -222,7 +222,7 @@
     first, second = make_lease("a"), make_lease("b")
     first.step()
     second.step()
-    second.heard(first.row_version)
+    second.note_renewal(first.row_version)
     for _ in range(12):
         clock.now += 0.5
         first.step()
@@ -238,17 +238,17 @@
     small = make_lease("a", timing=TIMING._replace(standby_seconds=0.75))
     large = make_lease("b")
     small.step()
-    assert not small.holds
+    assert not small.is_leader
     clock.now += 0.3
     large.step()
-    assert large.holds
+    assert large.is_leader
     large.release()
     clock.now += 0.3
     small.step()
-    assert not small.holds
+    assert not small.is_leader
     clock.now += 0.8
     small.step()
-    assert small.holds
+    assert small.is_leader
 
 
 def test_next_giver_is_found_with_few_calls(make_lease, clock, store):
@@ -262,7 +262,7 @@
 
     def pass_time(seconds):
         clock.now += seconds
-        if not first.holds and not second.holds:
+        if not first.is_leader and not second.is_leader:
             second.step()
 
     store.during_wait = pass_time
@@ -270,8 +270,8 @@
         third.watch(1.5)
     assert third.record.instance == "b"
     assert store.calls.count("changes") <= 3
-    assert second.holds
-    assert not third.holds
+    assert second.is_leader
+    assert not third.is_leader
 
 
 def test_row_that_nobody_renews_is_taken_by_who_watches_it(make_lease, clock, store):
@@ -283,8 +283,8 @@
         clock.now += seconds
 
     store.during_wait = pass_time
-    while not second.holds:
-        assert not first.holds or second.fence() is None
+    while not second.is_leader:
+        assert not first.is_leader or second.fence() is None
         second.watch(1.5)
     assert store.calls == ["read", "changes", "changes"]
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
@@ -9,7 +9,7 @@
 from redwingscale_daemon._internal.platform.configuration import decode_configuration
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.table_record import decode_table, encode_table
-from redwingscale_daemon._internal.swaps.giver_lease import GiverLease, GiverRecord, LeaseTiming
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
 from redwingscale_daemon._internal.swaps.peer_desk import KnownLease, PeerDesk
 from redwingscale_daemon._internal.swaps.peer_questions import PeerQuestions
 from redwingscale_daemon._internal.swaps.rate_limit_gossip import RateLimitGossip
@@ -18,7 +18,7 @@
 from redwingscale_standins.hosted.waiting import until
 
 KEY = "k2b7ex5wa5"
-GIVER = GiverRecord("n9", "127.0.0.1", 1, 2, "start")
+LEADER = LeaderRecord("n9", "127.0.0.1", 1, 2, "start")
 
 
 def table(version, *keys):
@@ -32,7 +32,9 @@
     def __init__(self, newest, age=0.1):
         self.routes = CurrentRoutes()
         self.routes.offer(newest)
-        self.desk = PeerDesk("127.0.0.1", 0, self.routes, lambda: age, lambda: KnownLease(7, GIVER))
+        self.desk = PeerDesk(
+            "127.0.0.1", 0, self.routes, lambda: age, lambda: KnownLease(7, LEADER)
+        )
         self.desk.start()
 
 
@@ -99,7 +101,7 @@
     asker.questions.step()
     assert asker.version == 2
     assert asker.routes.get().keys.find(key_digest(KEY)) is None
-    assert asker.givers == [(7, GIVER)]
+    assert asker.givers == [(7, LEADER)]
 
 
 def test_older_configuration_of_a_peer_is_not_taken(start, asker):
@@ -141,17 +143,17 @@
     asker.questions.hear([peer.desk.address])
     asker.questions.step()
     assert peer.desk._packed[0] == 2
-    assert asker.givers == [(7, GIVER)]
+    assert asker.givers == [(7, LEADER)]
 
 
 def test_lease_row_told_by_a_peer_is_taken_only_if_newer(store):
     """Guards against a return to a former order giver."""
     timing = LeaseTiming(2.0, 1.2, 0.3)
-    lease = GiverLease(store, "me", lambda: GIVER, timing)
-    lease.told(9, GIVER)
-    former = GiverRecord("n1", "127.0.0.1", 1, 2, "former")
-    lease.told(8, former)
-    assert lease.record == GIVER
+    lease = LeaderLease(store, "me", lambda: LEADER, timing)
+    lease.adopt_record(9, LEADER)
+    former = LeaderRecord("n1", "127.0.0.1", 1, 2, "former")
+    lease.adopt_record(8, former)
+    assert lease.record == LEADER
     assert lease.row_version == 9
 
 
