--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_lease.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_lease.py
@@ -33,7 +33,7 @@
 
 
 class LeaseTiming(NamedTuple):
-    """``lease_seconds`` from the last renewal; ``quiet_seconds`` between two givers' orders.
+    """``lease_seconds`` from the last renewal; ``handover_pause_seconds`` between two givers' orders.
 
     Orders are given only for ``order_seconds`` after a renewal, less than the
     lease: the next giver's quiet time counts from the end of these, and is
@@ -45,7 +45,7 @@
 
     lease_seconds: float
     order_seconds: float
-    quiet_seconds: float
+    handover_pause_seconds: float
     standby_seconds: float = 0.0
 
 
@@ -56,7 +56,7 @@
     taker from when it saw the row's last change, so the holder's lease ends
     first. The clock also counts while the machine is suspended: a holder that
     wakes sees at once that its lease has ended. A new holder is silent for
-    ``quiet_seconds``, so that orders of two givers never take turns.
+    ``handover_pause_seconds``, so that orders of two givers never take turns.
 
     ``start`` is an id of this process; ``describe`` returns its record, whose
     ports are known once they are open.
@@ -275,7 +275,7 @@
         # One that has released the lease had sent its last order before.
         after = 0.0 if self._record.released else self._timing.order_seconds
         last_order = self._seen_at + after
-        return last_order + self._timing.quiet_seconds
+        return last_order + self._timing.handover_pause_seconds
 
 
 def _record(row: StoredRow) -> LeaderRecord | None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/load_rate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/load_rate.py
@@ -20,13 +20,13 @@
         self._lock = threading.Lock()
         self._begun: deque[float] = deque()
 
-    def succeed(self, ceiling: LoadCeiling, quiet_seconds: float) -> None:
+    def succeed(self, ceiling: LoadCeiling, handover_pause_seconds: float) -> None:
         """Act as if the giver before had begun a full window of loads at its end.
 
         A new giver doesn't know what loads are under way: granting a window of
         its own at once, the two would take twice what the weight store allows.
         """
-        ended = time.monotonic() - quiet_seconds
+        ended = time.monotonic() - handover_pause_seconds
         with self._lock:
             self._begun.extend([ended] * int(ceiling.per_second * ceiling.window_seconds))
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -163,7 +163,9 @@
             return
         for service in table.services_by_name.values():
             if service.engine is not None:
-                self._rate.succeed(self._ceiling(service.engine), self._right.quiet_seconds)
+                self._rate.succeed(
+                    self._ceiling(service.engine), self._right.handover_pause_seconds
+                )
 
     def _ceiling(self, engine: EngineRule) -> LoadCeiling:
         return self._window._replace(per_second=engine.cold_loads_per_second)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -42,14 +42,14 @@
 
     ``fence`` returns the number to use now, None without the right. Where another
     process gave the orders before, ``succeeds_another`` tells so, and its last
-    order is ``quiet_seconds`` old when the first one is given here. ``may_call`` tells
+    order is ``handover_pause_seconds`` old when the first one is given here. ``may_call`` tells
     whether the rate limit and the retry time of an upstream let one more call through now.
     """
 
     instance: str
     fence: Callable[[], int | None]
     succeeds_another: Callable[[], bool] = lambda: False
-    quiet_seconds: float = 0.0
+    handover_pause_seconds: float = 0.0
     may_call: Callable[[str], bool] = lambda _: True
 
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_leader_lease.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_lease.py
@@ -5,7 +5,7 @@
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable, WriteUnknown
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
 
-TIMING = LeaseTiming(lease_seconds=2.0, order_seconds=1.2, quiet_seconds=3.0)
+TIMING = LeaseTiming(lease_seconds=2.0, order_seconds=1.2, handover_pause_seconds=3.0)
 
 
 class Clock:
@@ -62,7 +62,7 @@
             last_of_first = clock.now
         if first_of_second is None and second.fence() is not None:
             first_of_second = clock.now
-    assert first_of_second - last_of_first >= TIMING.quiet_seconds
+    assert first_of_second - last_of_first >= TIMING.handover_pause_seconds
     assert second.fence() > 1
 
 
@@ -190,7 +190,7 @@
         clock.now += 0.1
         second.step()
     since_release = clock.now - 100.0
-    assert TIMING.quiet_seconds <= since_release <= TIMING.quiet_seconds + 0.5
+    assert TIMING.handover_pause_seconds <= since_release <= TIMING.handover_pause_seconds + 0.5
 
 
 def test_lease_counts_from_the_holders_last_news(make_lease, clock):
@@ -213,7 +213,7 @@
     while second.fence() is None:
         clock.now += 0.1
         second.step()
-    longest = TIMING.order_seconds + TIMING.quiet_seconds
+    longest = TIMING.order_seconds + TIMING.handover_pause_seconds
     assert longest <= clock.now - heard_at <= longest + 0.2
 
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_load_rate.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_load_rate.py
@@ -36,7 +36,7 @@
     # The former giver may have begun a whole window of loads just before its end,
     # three seconds ago: none may begin until these have left the window.
     rate = LoadRate()
-    rate.succeed(CEILING, quiet_seconds=3.0)
+    rate.succeed(CEILING, handover_pause_seconds=3.0)
     assert begin_all(rate) == 0
     clock[0] += 2.1
     assert begin_all(rate) == 10
