--- a/benchmarks/giver_news.py
+++ b/benchmarks/giver_news.py
@@ -14,12 +14,12 @@
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
 from redwingscale_daemon._internal.swaps.demand import Demand, WaitingUnit
 from redwingscale_daemon._internal.swaps.messages import (
-    GiverNews,
     HeldEntry,
-    InstanceNews,
+    InstanceUpdate,
+    LeaderUpdate,
     LoadEntry,
     NeedEntry,
-    StoreNews,
+    StoreUpdate,
     UseEntry,
 )
 from redwingscale_daemon._internal.swaps.planner import Planner
@@ -70,10 +70,10 @@
         for view in views
     ]
     loads = [LoadEntry(view.upstream.id, 7, 12_000) for view in views]
-    store = StoreNews(123_456, ListUpdate([], [], 0.31, 2**63, 123_456), 42, 0.72)
+    store = StoreUpdate(123_456, ListUpdate([], [], 0.31, 2**63, 123_456), 42, 0.72)
 
-    def giver(entries: list[HeldEntry], sums: list[LoadEntry] | None) -> GiverNews:
-        return GiverNews(
+    def giver(entries: list[HeldEntry], sums: list[LoadEntry] | None) -> LeaderUpdate:
+        return LeaderUpdate(
             "edge-zone-a-1", 123, entries, sums is not None, {}, sums, instances, store
         )
 
@@ -85,7 +85,7 @@
         "all_held_bytes": len(encode(giver(held, loads))),
         "regular_bytes": len(encode(giver([], loads))),
         "change_bytes": len(encode(giver(held[:1], None))),
-        "instance_bytes": len(encode(InstanceNews("edge-zone-a-1", needs, own_loads, uses, []))),
+        "instance_bytes": len(encode(InstanceUpdate("edge-zone-a-1", needs, own_loads, uses, []))),
     }
 
 
@@ -95,7 +95,7 @@
     demand = Demand()
     asked = rng.sample(names, int(len(names) * ASKED_PART))
     entries = [NeedEntry(SERVICE, name, "", rng.randint(1, 5), 0, 0.0) for name in asked]
-    demand.heard(InstanceNews("i", entries, [], [], []))
+    demand.heard(InstanceUpdate("i", entries, [], [], []))
     waiting = [
         WaitingUnit(SERVICE, Unit(name), 2, 5.0)
         for name in rng.sample(names, max(1, int(len(names) * WAITING_PART)))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -25,11 +25,11 @@
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling
 from redwingscale_daemon._internal.swaps.messages import (
-    GiverNews,
-    InstanceNews,
+    InstanceUpdate,
+    LeaderUpdate,
     LoadEntry,
     OutcomeEntry,
-    StoreNews,
+    StoreUpdate,
     UseEntry,
 )
 from redwingscale_daemon._internal.swaps.needs import Needs
@@ -134,27 +134,27 @@
     told_loads: list[LoadEntry] = []
     instances = InstanceCount(lambda: lease.record.instances if lease.record else 0)
 
-    def on_giver_news(news: GiverNews) -> None:
-        instances.hear(news.instances)
-        _take_news(news, told_loads, fleet)
-        if news.grants is not None:
-            limiter.receive(news.grants)
-        peers.questions.hear(news.peers)
+    def on_leader_update(update: LeaderUpdate) -> None:
+        instances.hear(update.instances)
+        _take_update(update, told_loads, fleet)
+        if update.grants is not None:
+            limiter.receive(update.grants)
+        peers.questions.hear(update.peers)
         if not lease.is_leader:
-            lease.note_renewal(news.store.lease_version)
-            list_news.take(news.fence, news.store.upstreams)
-            route_versions.take(news.store.configuration, news.store.configuration_age)
+            lease.note_renewal(update.store.lease_version)
+            list_news.take(update.fence, update.store.upstreams)
+            route_versions.take(update.store.configuration, update.store.configuration_age)
 
-    def read_for_all(changes: ListChanges) -> StoreNews:
+    def read_for_all(changes: ListChanges) -> StoreUpdate:
         table = routes.get()
-        return StoreNews(
+        return StoreUpdate(
             lease.row_version,
             changes.make_update(fleet.directory, reads.upstreams.age),
             table.version if table else 0,
             reads.configuration.age,
         )
 
-    def make_news(introduce: bool) -> InstanceNews:
+    def make_update(introduce: bool) -> InstanceUpdate:
         nonlocal told_loads
         loads = [LoadEntry(key, *load) for key, load in fleet.load_tracker.own().items()]
         told_loads = loads
@@ -165,7 +165,7 @@
         so_far = own_demand.so_far() if introduce else None
         outcomes = [OutcomeEntry(*counts) for counts in fleet.outcomes.drain()]
         unreachable = fleet.health.all_unreachable()
-        news = InstanceNews(
+        update = InstanceUpdate(
             me,
             needs.drain(),
             loads,
@@ -179,8 +179,8 @@
             fleet.directory.leaving_unlisted(),
             fleet.retry_times.pending(),
         )
-        own_demand.heard(news)
-        return news
+        own_demand.heard(update)
+        return update
 
     issuer = PermitIssuer(fleet.rates.limited, fleet.directory.lists)
     fleet.directory.on_gone(issuer.forget)
@@ -191,7 +191,7 @@
         settings.bounds.order_quiet,
         lambda upstream: not fleet.retry_times.remaining(upstream) and issuer.draw(upstream),
     )
-    hub = GiverHub(settings.host, news_port, needs_port, lambda news: giver.heard(news))
+    hub = GiverHub(settings.host, news_port, needs_port, lambda update: giver.heard(update))
     giver = OrderGiver(
         right,
         routes,
@@ -214,7 +214,7 @@
     )
     fleet.directory.on_gone(giver.forget)
     peers = build_peers(settings, routes, reads, route_versions, lease, fleet)
-    link = GiverLink(lease, me, make_news, on_giver_news, giver.heard)
+    link = GiverLink(lease, me, make_update, on_leader_update, giver.heard)
     needs.on_new_wait(link.wake)
     fleet.rates.on_update(link.wake)
 
@@ -231,9 +231,9 @@
             lease_retry.answered()
 
     def give() -> None:
-        news = giver.step()
-        if news is not None:
-            on_giver_news(news)
+        update = giver.step()
+        if update is not None:
+            on_leader_update(update)
 
     return Swaps(
         needs=needs,
@@ -253,22 +253,22 @@
     )
 
 
-def _take_news(news: GiverNews, own_loads: list[LoadEntry], fleet: Fleet) -> None:
+def _take_update(update: LeaderUpdate, own_loads: list[LoadEntry], fleet: Fleet) -> None:
     held = {
         entry.upstream: {
             name: frozenset(adapters) for name, adapters in entry.adapters_by_model.items()
         }
-        for entry in news.held
+        for entry in update.held
     }
-    take = fleet.residency.replace if news.all_held else fleet.residency.update
-    take(held, news.ready_in, news.fence)
-    fleet.rates.receive(news.rate_limits)
-    fleet.directory.note_leaving(news.leaving, "order giver")
-    if news.loads is not None:
-        fleet.outcomes.set_failure_ratios(news.failing)
+    take = fleet.residency.replace if update.all_held else fleet.residency.update
+    take(held, update.ready_in, update.fence)
+    fleet.rates.receive(update.rate_limits)
+    fleet.directory.note_leaving(update.leaving, "order giver")
+    if update.loads is not None:
+        fleet.outcomes.set_failure_ratios(update.failing)
         own = {entry.upstream: entry for entry in own_loads}
         fleet.load_tracker.set_others(
-            {entry.upstream: _without(entry, own.get(entry.upstream)) for entry in news.loads}
+            {entry.upstream: _without(entry, own.get(entry.upstream)) for entry in update.loads}
         )
     fleet.changes.notify()
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -8,7 +8,7 @@
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.messages import (
     DemandSoFar,
-    InstanceNews,
+    InstanceUpdate,
     ModelRates,
     NeedEntry,
     UnitRate,
@@ -36,7 +36,7 @@
 # One late request in some seconds is no reason for a further copy of its adapter.
 LEAST_MISSED_PER_SECOND = 0.5
 # An instance's news replace its former ones; one that is silent needs nothing.
-NEWS_SECONDS = 1.5
+UPDATE_FRESH_SECONDS = 1.5
 
 
 class WaitingUnit(NamedTuple):
@@ -78,17 +78,17 @@
             for model, copies in copies_by_model.items():
                 self._first_copies.setdefault((service, model), copies)
 
-    def heard(self, news: InstanceNews) -> None:
+    def heard(self, update: InstanceUpdate) -> None:
         """Take an instance's news."""
         now = time.monotonic()
         with self._lock:
-            if news.so_far is not None and news.instance not in self._introduced:
-                self._introduced.add(news.instance)
-                self._adopt(news.so_far, now)
-            self._waiting[news.instance] = (now, [need for need in news.needs if need.waiting])
-            if news.needs and self._first_arrival_at is None:
+            if update.so_far is not None and update.instance not in self._introduced:
+                self._introduced.add(update.instance)
+                self._adopt(update.so_far, now)
+            self._waiting[update.instance] = (now, [need for need in update.needs if need.waiting])
+            if update.needs and self._first_arrival_at is None:
                 self._first_arrival_at = now
-            for need in news.needs:
+            for need in update.needs:
                 self._count(need, now)
 
     def forget_introductions(self) -> None:
@@ -125,7 +125,7 @@
             needs = [
                 (need, heard_at)
                 for heard_at, entries in self._waiting.values()
-                if now - heard_at < NEWS_SECONDS
+                if now - heard_at < UPDATE_FRESH_SECONDS
                 for need in entries
             ]
         by_unit: dict[tuple[str, Unit], WaitingUnit] = {}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_hub.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_hub.py
@@ -8,13 +8,13 @@
 import pynng
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.swaps.messages import GiverNews, InstanceNews
+from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, LeaderUpdate
 
 _RECEIVE_MS = 1000
 # News are four a second; an instance without any for this long is gone or cut off.
 HEARD_SECONDS = 2.0
 
-OnNews = Callable[[InstanceNews], None]
+OnUpdate = Callable[[InstanceUpdate], None]
 
 
 class GiverHub:
@@ -25,11 +25,11 @@
     silent does not keep its partner from dialling anew.
     """
 
-    def __init__(self, host: str, news_port: int, needs_port: int, on_news: OnNews) -> None:
+    def __init__(self, host: str, news_port: int, needs_port: int, on_update: OnUpdate) -> None:
         self._pub = pynng.Pub0()
         self._pull = pynng.Pull0(recv_timeout=_RECEIVE_MS)
         self._addresses = (f"tcp://{host}:{news_port}", f"tcp://{host}:{needs_port}")
-        self._on_news = on_news
+        self._on_update = on_update
         self._encoder = msgspec.msgpack.Encoder()
         self._heard_at: dict[str, float] = {}
         # The ports in use, also where 0 was asked for; known after the start.
@@ -51,9 +51,9 @@
         self._pub.close()
         self._pull.close()
 
-    def publish(self, news: GiverNews) -> int:
+    def publish(self, update: LeaderUpdate) -> int:
         """Tell every instance that listens; never blocks. Return the bytes for each of them."""
-        sent = msgspec.structs.replace(news, sent_at=time.monotonic())
+        sent = msgspec.structs.replace(update, sent_at=time.monotonic())
         message = self._encoder.encode(sent)
         try:
             self._pub.send(message, block=False)
@@ -67,10 +67,10 @@
         return sum(1 for heard_at in list(self._heard_at.values()) if heard_at > since)
 
     def _run(self) -> None:
-        decoder = msgspec.msgpack.Decoder(InstanceNews)
+        decoder = msgspec.msgpack.Decoder(InstanceUpdate)
         while not self._stopped:
             try:
-                news = decoder.decode(self._pull.recv())
+                update = decoder.decode(self._pull.recv())
             except pynng.Timeout:
                 continue
             except pynng.Closed:
@@ -78,8 +78,8 @@
             except (msgspec.DecodeError, pynng.NNGException) as error:
                 log_event("instance_news_invalid", level="WARNING", error=error)
                 continue
-            self._heard_at[news.instance] = time.monotonic()
-            self._on_news(news)
+            self._heard_at[update.instance] = time.monotonic()
+            self._on_update(update)
 
 
 def open_port(sock: pynng.Socket, address: str) -> int:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_link.py
@@ -10,10 +10,10 @@
 from redwingscale_common.utils.logs import log_event
 
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord
-from redwingscale_daemon._internal.swaps.messages import GiverNews, InstanceNews
+from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, LeaderUpdate
 from redwingscale_daemon._internal.swaps.news_delay import NewsDelay
 
-NEWS_SECONDS = 0.25
+UPDATE_SECONDS = 0.25
 _RECEIVE_MS = 250
 # Six messages that did not come: the link, not a message, is lost.
 SILENT_SECONDS = 1.5
@@ -21,8 +21,8 @@
 LATE_SECONDS = 0.5
 
 # With what was asked for so far, or without.
-MakeNews = Callable[[bool], InstanceNews]
-OnNews = Callable[[GiverNews], None]
+MakeUpdate = Callable[[bool], InstanceUpdate]
+OnUpdate = Callable[[LeaderUpdate], None]
 
 
 class _Sockets(NamedTuple):
@@ -41,24 +41,24 @@
         self,
         lease: LeaderLease,
         instance: str,
-        make: MakeNews,
-        on_news: OnNews,
-        to_self: Callable[[InstanceNews], None],
+        make: MakeUpdate,
+        on_update: OnUpdate,
+        to_self: Callable[[InstanceUpdate], None],
     ) -> None:
         self._lease = lease
         self._instance = instance
         self._make = make
-        self._on_news = on_news
+        self._on_update = on_update
         self._to_self = to_self
         self._encoder = msgspec.msgpack.Encoder()
-        self._decoder = msgspec.msgpack.Decoder(GiverNews)
+        self._decoder = msgspec.msgpack.Decoder(LeaderUpdate)
         self._wake = threading.Event()
         self._stopped = False
         self._record: LeaderRecord | None = None
         self._sockets: _Sockets | None = None
         self._heard_at = 0.0
         self._delay = NewsDelay()
-        self._news_late = False
+        self._update_late = False
         # The link over which, and whether this instance itself as the order giver, has
         # been told what was asked for before its time.
         self._introduced_over: _Sockets | None = None
@@ -93,7 +93,7 @@
                 time.sleep(_RECEIVE_MS / 1000)
                 continue
             try:
-                news = self._decoder.decode(sockets.sub.recv())
+                update = self._decoder.decode(sockets.sub.recv())
             except pynng.Timeout:
                 continue
             except (pynng.NNGException, msgspec.DecodeError) as error:
@@ -101,15 +101,15 @@
                 self._close()
                 continue
             self._heard_at = time.monotonic()
-            self._on_news(news.delayed(self._late_by(news)))
+            self._on_update(update.delayed(self._late_by(update)))
 
-    def _late_by(self, news: GiverNews) -> float:
+    def _late_by(self, update: LeaderUpdate) -> float:
         start = self._record.start if self._record else ""
-        seconds = self._delay.seconds(start, news.sent_at)
+        seconds = self._delay.seconds(start, update.sent_at)
         late = seconds > LATE_SECONDS
-        if late != self._news_late:
-            self._news_late = late
-            log_event("giver_news_late", giver=news.giver, late=late, seconds=round(seconds, 3))
+        if late != self._update_late:
+            self._update_late = late
+            log_event("giver_news_late", giver=update.giver, late=late, seconds=round(seconds, 3))
         return seconds
 
     def _follow(self) -> None:
@@ -135,7 +135,7 @@
 
     def _send(self) -> None:
         while not self._stopped:
-            self._wake.wait(NEWS_SECONDS)
+            self._wake.wait(UPDATE_SECONDS)
             self._wake.clear()
             if self._lease.is_leader:
                 self._to_self(self._make(not self._introduced_to_self))
@@ -143,13 +143,13 @@
                 continue
             self._introduced_to_self = False
             sockets = self._sockets
-            news = self._make(sockets is not None and sockets is not self._introduced_over)
+            update = self._make(sockets is not None and sockets is not self._introduced_over)
             if sockets is not None:
-                self._tell(sockets, news)
+                self._tell(sockets, update)
 
-    def _tell(self, sockets: _Sockets, news: InstanceNews) -> None:
+    def _tell(self, sockets: _Sockets, update: InstanceUpdate) -> None:
         try:
-            sockets.push.send(self._encoder.encode(news), block=False)
+            sockets.push.send(self._encoder.encode(update), block=False)
         except pynng.TryAgain:
             # Not connected: what was asked for so far is told when it is.
             return
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_totals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_totals.py
@@ -6,7 +6,7 @@
 
 from redwingscale_daemon._internal.fleet.load_tracker import NO_LOAD, Load
 from redwingscale_daemon._internal.fleet.unit import Unit
-from redwingscale_daemon._internal.swaps.messages import InstanceNews
+from redwingscale_daemon._internal.swaps.messages import InstanceUpdate
 
 # Instances tell four times a second; one that has been silent for longer counts for
 # nothing until it is heard of again.
@@ -33,7 +33,7 @@
 
 class _Told(NamedTuple):
     at: float
-    news: InstanceNews
+    update: InstanceUpdate
 
 
 class InstanceTotals:
@@ -47,15 +47,15 @@
     def __len__(self) -> int:
         return len(self._told_by_instance)
 
-    def heard(self, news: InstanceNews) -> bool:
+    def heard(self, update: InstanceUpdate) -> bool:
         """Take an instance's news; return whether it has just come, or come back."""
         now = time.monotonic()
-        before = self._told_by_instance.get(news.instance)
-        self._told_by_instance[news.instance] = _Told(now, news)
-        served = {entry.upstream for entry in news.loads if entry.requests}
-        served.update(entry.upstream for entry in news.outcomes if entry.answered)
-        for upstream in served - set(news.rejecting):
-            self._served_at[upstream][news.instance] = now
+        before = self._told_by_instance.get(update.instance)
+        self._told_by_instance[update.instance] = _Told(now, update)
+        served = {entry.upstream for entry in update.loads if entry.requests}
+        served.update(entry.upstream for entry in update.outcomes if entry.answered)
+        for upstream in served - set(update.rejecting):
+            self._served_at[upstream][update.instance] = now
         return before is None or now - before.at > FRESH_SECONDS
 
     def forget(self, upstream_ids: set[str]) -> None:
@@ -67,19 +67,19 @@
         """Return where the instances that were heard of lately answer questions."""
         since = time.monotonic() - FRESH_SECONDS
         return [
-            one.news.address
+            one.update.address
             for one in list(self._told_by_instance.values())
-            if one.at > since and one.news.address
+            if one.at > since and one.update.address
         ]
 
     def sum(self) -> Totals:
         """Return the totals of the instances that were heard of lately."""
         since = time.monotonic() - FRESH_SECONDS
         told = list(self._told_by_instance.values())
-        fresh = [one.news for one in told if one.at > since]
+        fresh = [one.update for one in told if one.at > since]
         return Totals(_loads(fresh), _uses(fresh), _cut_off(fresh), self._rejecting(fresh))
 
-    def _rejecting(self, fresh: list[InstanceNews]) -> set[str]:
+    def _rejecting(self, fresh: list[InstanceUpdate]) -> set[str]:
         """Return the upstreams that reject more instances than they serve.
 
         What they hold is missed by the callers whom they turn away, and a model that is
@@ -88,9 +88,9 @@
         """
         since = time.monotonic() - SERVED_SECONDS
         rejected_by_id: dict[str, set[str]] = defaultdict(set)
-        for news in fresh:
-            for key in news.rejecting:
-                rejected_by_id[key].add(news.instance)
+        for update in fresh:
+            for key in update.rejecting:
+                rejected_by_id[key].add(update.instance)
         return {
             key
             for key, rejected in rejected_by_id.items()
@@ -102,9 +102,9 @@
         return {instance for instance, at in list(served.items()) if at > since}
 
 
-def _loads(fresh: list[InstanceNews]) -> dict[str, Load]:
+def _loads(fresh: list[InstanceUpdate]) -> dict[str, Load]:
     totals: dict[str, Load] = defaultdict(lambda: NO_LOAD)
-    for entry in (entry for news in fresh for entry in news.loads):
+    for entry in (entry for update in fresh for entry in update.loads):
         total = totals[entry.upstream]
         totals[entry.upstream] = Load(
             total.requests + entry.requests, total.prompt_tokens + entry.prompt_tokens
@@ -112,19 +112,19 @@
     return totals
 
 
-def _uses(fresh: list[InstanceNews]) -> dict[str, dict[Unit, int]]:
+def _uses(fresh: list[InstanceUpdate]) -> dict[str, dict[Unit, int]]:
     totals: dict[str, dict[Unit, int]] = defaultdict(Counter)
-    for entry in (entry for news in fresh for entry in news.uses):
+    for entry in (entry for update in fresh for entry in update.uses):
         totals[entry.upstream][Unit(entry.model, entry.adapter)] += entry.requests
     return totals
 
 
-def _cut_off(fresh: list[InstanceNews]) -> set[str]:
+def _cut_off(fresh: list[InstanceUpdate]) -> set[str]:
     """Return the upstreams that more than half of the instances cannot reach.
 
     What they hold counts for nothing until they are back: after a partition or a
     crash their entries in the list last for seconds, and what only they hold would
     be missed by all.
     """
-    counts = Counter(key for news in fresh for key in set(news.unreachable))
+    counts = Counter(key for update in fresh for key in set(update.unreachable))
     return {key for key, count in counts.items() if count * 2 > len(fresh)}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
@@ -83,7 +83,7 @@
     failed: int
 
 
-class InstanceNews(msgspec.Struct, array_like=True):
+class InstanceUpdate(msgspec.Struct, array_like=True):
     """From each instance to the order giver.
 
     ``unreachable`` upstreams have taken no connection of this instance lately.
@@ -114,7 +114,7 @@
     adapters_by_model: dict[str, list[str]]
 
 
-class StoreNews(msgspec.Struct, array_like=True):
+class StoreUpdate(msgspec.Struct, array_like=True):
     """What the order giver has read from the store, so that the others need not.
 
     ``lease_version`` is the row version of its newest renewal. Of the configuration it
@@ -127,7 +127,7 @@
     configuration_age: float
 
 
-class GiverNews(msgspec.Struct, array_like=True):
+class LeaderUpdate(msgspec.Struct, array_like=True):
     """From the order giver to each instance.
 
     ``held`` tells all upstreams where ``all_held``, else those whose holdings have
@@ -150,7 +150,7 @@
     ready_in: dict[str, float]
     loads: list[LoadEntry] | None
     instances: int
-    store: StoreNews
+    store: StoreUpdate
     failing: dict[str, float] = {}
     grants: list[GrantEntry] | None = None
     peers: list[str] = []
@@ -158,7 +158,7 @@
     leaving: list[str] = []
     sent_at: float = 0.0
 
-    def delayed(self, seconds: float) -> "GiverNews":
+    def delayed(self, seconds: float) -> "LeaderUpdate":
         """Return the news as they are after ``seconds`` on their way."""
         upstreams = msgspec.structs.replace(
             self.store.upstreams, age=self.store.upstreams.age + seconds
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/news_due.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/news_due.py
@@ -5,10 +5,10 @@
 
 from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.upstream import Upstream
-from redwingscale_daemon._internal.swaps.messages import HeldEntry, StoreNews
+from redwingscale_daemon._internal.swaps.messages import HeldEntry, StoreUpdate
 
 # News go out when something changes, and at least this often.
-NEWS_SECONDS = 0.25
+UPDATE_SECONDS = 0.25
 # All that is held is told this often, for instances whose link was lost for a while.
 ALL_HELD_SECONDS = 2.0
 # All that is held is told no more often than this for each instance that hears it: 78
@@ -68,7 +68,7 @@
         ]
         return recent, False
 
-    def differ(self, loading: Iterable[str], store: StoreNews) -> bool:
+    def differ(self, loading: Iterable[str], store: StoreUpdate) -> bool:
         """Return whether the news tell something that no earlier ones have told."""
         told = store.upstreams
         apart = (frozenset(loading), told.changed, told.gone, store.configuration)
@@ -79,7 +79,7 @@
     def regular_due(self) -> bool:
         """Return whether news are due without a change; they hold the loads then."""
         now = time.monotonic()
-        due = now - self._regular_at >= NEWS_SECONDS
+        due = now - self._regular_at >= UPDATE_SECONDS
         if due:
             self._regular_at = now
         return due
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -22,12 +22,12 @@
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling, LoadRate
 from redwingscale_daemon._internal.swaps.messages import (
-    GiverNews,
-    InstanceNews,
+    InstanceUpdate,
+    LeaderUpdate,
     LoadEntry,
-    StoreNews,
+    StoreUpdate,
 )
-from redwingscale_daemon._internal.swaps.news_due import NEWS_SECONDS, NewsDue
+from redwingscale_daemon._internal.swaps.news_due import UPDATE_SECONDS, NewsDue
 from redwingscale_daemon._internal.swaps.order_client import OrderClient
 from redwingscale_daemon._internal.swaps.permit_issuer import PermitIssuer
 from redwingscale_daemon._internal.swaps.planner import Planner, Swap
@@ -71,7 +71,7 @@
         client: OrderClient,
         hub: GiverHub,
         window: LoadCeiling,
-        read: Callable[[ListChanges], StoreNews],
+        read: Callable[[ListChanges], StoreUpdate],
         link_mbps: float = math.inf,
         use_slack: float = 0.0,
         issuer: PermitIssuer | None = None,
@@ -106,28 +106,28 @@
         # Not for secrets: it only spreads questions.
         self._random = random.Random()
 
-    def heard(self, news: InstanceNews) -> None:
+    def heard(self, update: InstanceUpdate) -> None:
         """Take an instance's news; called by the threads that receive them."""
-        self._demand.heard(news)
-        self._failing.receive(news.outcomes)
-        self._use.receive(news.instance, news.drawn)
-        self._directory.note_leaving(news.leaving, "instance")
-        if self._issuer.heard(news.instance, news.rate_limits):
+        self._demand.heard(update)
+        self._failing.receive(update.outcomes)
+        self._use.receive(update.instance, update.drawn)
+        self._directory.note_leaving(update.leaving, "instance")
+        if self._issuer.heard(update.instance, update.rate_limits):
             self._wake.set()
-        if self._instances.heard(news):
+        if self._instances.heard(update):
             # It knows nothing of what is held.
             self._news.newcomer()
             self._wake.set()
-        if any(need.waiting for need in news.needs):
+        if any(need.waiting for need in update.needs):
             self._wake.set()
 
     def forget(self, upstream_ids: set[str]) -> None:
         """Drop upstreams that are gone."""
         self._instances.forget(upstream_ids)
 
-    def step(self) -> GiverNews | None:
+    def step(self) -> LeaderUpdate | None:
         """Plan once and return what was told, None for nothing new or without the right."""
-        self._wake.wait(NEWS_SECONDS)
+        self._wake.wait(UPDATE_SECONDS)
         self._wake.clear()
         fence = self._right.fence()
         if fence is None:
@@ -140,13 +140,13 @@
         self._totals = self._instances.sum()
         self._follow_list()
         self._plan()
-        news = self._tell(fence)
-        message_bytes = 0 if news is None else self._hub.publish(news)
+        update = self._tell(fence)
+        message_bytes = 0 if update is None else self._hub.publish(update)
         took = time.monotonic() - started
         least = LEAST_REST_SECONDS + len(self._instances) * REST_SECONDS_EACH
-        rest = min(NEWS_SECONDS, max(least, took * REST_FACTOR))
+        rest = min(UPDATE_SECONDS, max(least, took * REST_FACTOR))
         time.sleep(max(rest, self._sending_seconds(message_bytes)))
-        return news
+        return update
 
     def _sending_seconds(self, message_bytes: int) -> float:
         """Return how long a message to all instances takes of the part of the link for it."""
@@ -250,7 +250,7 @@
     def _views(self, service: str) -> list[WorkerView]:
         return self._service_views.views(service, self._totals)
 
-    def _tell(self, fence: int) -> GiverNews | None:
+    def _tell(self, fence: int) -> LeaderUpdate | None:
         """Return the news, None where they would tell nothing and none are due."""
         regular = self._news.regular_due()
         held, all_held = self._news.held(
@@ -262,7 +262,7 @@
         if not self._news.differ(ready_in.keys(), store) and not regular and not limits:
             return None
         loads = [LoadEntry(key, *load) for key, load in self._totals.loads.items()]
-        return GiverNews(
+        return LeaderUpdate(
             self._right.instance,
             fence,
             held,
--- a/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
@@ -8,7 +8,7 @@
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
 from redwingscale_daemon._internal.store.rows import Snapshot, StoredRow
 from redwingscale_daemon._internal.swaps.engine_report import EngineReport
-from redwingscale_daemon._internal.swaps.messages import InstanceNews, NeedEntry
+from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, NeedEntry
 from redwingscale_daemon._internal.swaps.order import Load, OrderResult
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
@@ -41,15 +41,15 @@
     return WorkerView(listed, held, free, loading, {}, 0, prompt_tokens, {})
 
 
-def news(instance="i1", **arrivals):
+def update(instance="i1", **arrivals):
     needs = [NeedEntry(SERVICE, name, "", count, 0, 0.0) for name, count in arrivals.items()]
-    return InstanceNews(instance, needs, [], [], [])
+    return InstanceUpdate(instance, needs, [], [], [])
 
 
-def missed_news(model, arrivals, missed):
+def overload_update(model, arrivals, missed):
     """News of requests that a model's holders were too busy for."""
     need = NeedEntry(SERVICE, model, "", arrivals, 0, 0.0, missed)
-    return InstanceNews("i1", [need], [], [], [])
+    return InstanceUpdate("i1", [need], [], [], [])
 
 
 class MemoryStore:
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
@@ -3,10 +3,10 @@
 import msgspec
 import pytest
 from redwingscale_daemon._internal.swaps.demand import Demand
-from redwingscale_daemon._internal.swaps.messages import InstanceNews
+from redwingscale_daemon._internal.swaps.messages import InstanceUpdate
 from redwingscale_daemon._internal.swaps.planner import Planner
 
-from .conftest import SERVICE, news, view
+from .conftest import SERVICE, update, view
 
 
 @pytest.fixture
@@ -14,13 +14,13 @@
     """What one instance has counted while another one gave the orders."""
     own = Demand()
     for _ in range(8):
-        own.heard(news(a=10, b=1))
+        own.heard(update(a=10, b=1))
     return own.so_far()
 
 
 def introduction(told, instance="i1"):
-    wire = msgspec.msgpack.encode(InstanceNews(instance, [], [], [], [], told))
-    return msgspec.msgpack.decode(wire, type=InstanceNews)
+    wire = msgspec.msgpack.encode(InstanceUpdate(instance, [], [], [], [], told))
+    return msgspec.msgpack.decode(wire, type=InstanceUpdate)
 
 
 def test_rates_are_taken_over(told):
@@ -29,7 +29,7 @@
     taken_over.heard(introduction(told, "i2"))
     alone = Demand()
     for _ in range(8):
-        alone.heard(news(a=20, b=2))
+        alone.heard(update(a=20, b=2))
     for model in ("a", "b"):
         expected = alone.model_rate(SERVICE, model)
         assert taken_over.model_rate(SERVICE, model) == pytest.approx(expected, rel=0.05)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_late_news.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_late_updates.py
@@ -9,7 +9,7 @@
 from redwingscale_daemon._internal.swaps.giver_hub import GiverHub
 from redwingscale_daemon._internal.swaps.giver_link import GiverLink
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
-from redwingscale_daemon._internal.swaps.messages import GiverNews, InstanceNews, StoreNews
+from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, LeaderUpdate, StoreUpdate
 from redwingscale_daemon._internal.swaps.news_delay import NewsDelay
 from redwingscale_standins.soak.faulty_link import FaultyLink
 
@@ -18,8 +18,8 @@
 HELD_SECONDS = 1.0
 # Of the time that news were held up, what may not be told from a calm link's delay.
 UNSEEN_SECONDS = 0.2
-STORE = StoreNews(1, ListUpdate([], [], 0.0, 0, 0), 1, 0.0)
-NEWS = GiverNews("giver", 1, [], False, {}, None, 1, STORE)
+STORE = StoreUpdate(1, ListUpdate([], [], 0.0, 0, 0), 1, 0.0)
+UPDATE = LeaderUpdate("giver", 1, [], False, {}, None, 1, STORE)
 
 
 class Lease:
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def hub():
-    made = GiverHub("127.0.0.1", 0, 0, lambda news: None)
+    made = GiverHub("127.0.0.1", 0, 0, lambda update: None)
     made.start()
     yield made
     made.stop()
@@ -50,12 +50,12 @@
     told = []
     lease = Lease(LeaderRecord("giver", "127.0.0.1", path.port, hub.needs_port, "start"))
     link = GiverLink(
-        lease, "one", lambda _: InstanceNews("one", [], [], [], []), told.append, lambda _: None
+        lease, "one", lambda _: InstanceUpdate("one", [], [], [], []), told.append, lambda _: None
     )
     link.start()
 
     def linked():
-        hub.publish(NEWS)
+        hub.publish(UPDATE)
         return bool(told)
 
     assert until(linked)
@@ -68,7 +68,7 @@
     path.hold_from = True
     time.sleep(UNSEEN_SECONDS)
     before = len(heard)
-    hub.publish(NEWS)
+    hub.publish(UPDATE)
     time.sleep(HELD_SECONDS)
     path.heal()
     assert until(lambda: len(heard) > before)
@@ -116,6 +116,6 @@
 def test_permits_that_come_late_are_void(seconds, permits):
     # Guards against permits of two order givers that are used at the same time.
     entry = PermitEntry("u", 1.0, 0.2, 0, {"one": 3})
-    news = msgspec.structs.replace(NEWS, rate_limits=[entry]).delayed(seconds)
-    assert news.rate_limits[0].permits_by_instance.get("one", 0) == permits
-    assert news.rate_limits[0].age == pytest.approx(0.2 + seconds)
+    update = msgspec.structs.replace(UPDATE, rate_limits=[entry]).delayed(seconds)
+    assert update.rate_limits[0].permits_by_instance.get("one", 0) == permits
+    assert update.rate_limits[0].age == pytest.approx(0.2 + seconds)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_giver_news.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from redwingscale_daemon._internal.composition.swaps import _take_news
+from redwingscale_daemon._internal.composition.swaps import _take_update
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.load_tracker import Load
@@ -14,11 +14,11 @@
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling
 from redwingscale_daemon._internal.swaps.messages import (
-    GiverNews,
     HeldEntry,
-    InstanceNews,
+    InstanceUpdate,
+    LeaderUpdate,
     LoadEntry,
-    StoreNews,
+    StoreUpdate,
 )
 from redwingscale_daemon._internal.swaps.news_due import NewsDue
 from redwingscale_daemon._internal.swaps.order_giver import OrderGiver
@@ -26,16 +26,16 @@
 
 from .conftest import SERVICE, upstream
 
-NOTHING_READ = StoreNews(1, ListUpdate([], [], 0.0, 0, 0), 1, 0.0)
+NOTHING_READ = StoreUpdate(1, ListUpdate([], [], 0.0, 0, 0), 1, 0.0)
 
 
 class Hub:
     def __init__(self):
         self.told = []
 
-    def publish(self, news):
-        self.told.append(news)
-        return len(msgspec.msgpack.encode(news))
+    def publish(self, update):
+        self.told.append(update)
+        return len(msgspec.msgpack.encode(update))
 
 
 def _giver_of_many(engine, worker, upstreams=1, link_mbps=1000.0):
@@ -48,7 +48,7 @@
     ceiling = LoadCeiling(0.0, 5.0)
 
     def read(changes):
-        return StoreNews(1, changes.make_update(fleet.directory, 0.1), 1, 0.1)
+        return StoreUpdate(1, changes.make_update(fleet.directory, 0.1), 1, 0.1)
 
     return OrderGiver(right, routes, fleet.directory, worker, Hub(), ceiling, read, link_mbps)
 
@@ -59,7 +59,7 @@
 
 
 def loads(instance, requests):
-    return InstanceNews(instance, [], [LoadEntry("u0", requests, 100 * requests)], [], [])
+    return InstanceUpdate(instance, [], [LoadEntry("u0", requests, 100 * requests)], [], [])
 
 
 def test_loads_of_all_instances_are_told_as_one_sum(giver):
@@ -72,7 +72,7 @@
 
 def test_nothing_is_told_between_two_changes(giver):
     assert giver.step() is not None
-    giver.heard(InstanceNews("i1", [], [], [], []))
+    giver.heard(InstanceUpdate("i1", [], [], [], []))
     assert giver.step() is not None
     giver._wake.set()
     assert giver.step() is None
@@ -84,8 +84,8 @@
     real = time.monotonic
     monkeypatch.setattr(time, "monotonic", lambda: real() + 0.4)
     giver._wake.set()
-    news = giver.step()
-    assert (news.held, news.all_held) == ([], False)
+    update = giver.step()
+    assert (update.held, update.all_held) == ([], False)
     giver.heard(loads("i2", 1))
     assert giver.step().all_held
 
@@ -94,8 +94,8 @@
     fleet = new_fleet()
     own = [LoadEntry("u0", 3, 200)]
     fleet.load_tracker.enter("u0", None, 0)
-    _take_news(
-        GiverNews("g", 1, [], True, {}, [LoadEntry("u0", 5, 900)], 2, NOTHING_READ), own, fleet
+    _take_update(
+        LeaderUpdate("g", 1, [], True, {}, [LoadEntry("u0", 5, 900)], 2, NOTHING_READ), own, fleet
     )
     assert fleet.load_tracker.total("u0") == Load(3, 700)
 
@@ -105,11 +105,11 @@
     # giver's view, and models have moved since.
     fleet = new_fleet()
     held = [HeldEntry("u0", {"a": []})]
-    _take_news(GiverNews("g", 1, held, True, {}, [], 1, NOTHING_READ), [], fleet)
+    _take_update(LeaderUpdate("g", 1, held, True, {}, [], 1, NOTHING_READ), [], fleet)
     before = fleet.residency._view
-    _take_news(GiverNews("h", 2, [], False, {}, None, 1, NOTHING_READ), [], fleet)
+    _take_update(LeaderUpdate("h", 2, [], False, {}, None, 1, NOTHING_READ), [], fleet)
     assert fleet.residency._view is before
-    _take_news(GiverNews("g", 1, [], False, {}, None, 1, NOTHING_READ), [], fleet)
+    _take_update(LeaderUpdate("g", 1, [], False, {}, None, 1, NOTHING_READ), [], fleet)
     assert fleet.residency.resident("u0") == {"a": frozenset()}
     assert fleet.residency._view is not before
 
@@ -148,9 +148,9 @@
 def test_changes_are_merged_into_the_view():
     fleet = new_fleet()
     both = [HeldEntry("u0", {"a": []}), HeldEntry("u1", {"b": []})]
-    _take_news(GiverNews("g", 1, both, True, {}, [], 1, NOTHING_READ), [], fleet)
+    _take_update(LeaderUpdate("g", 1, both, True, {}, [], 1, NOTHING_READ), [], fleet)
     one = [HeldEntry("u1", {"b": ["x"]})]
-    _take_news(GiverNews("g", 1, one, False, {}, None, 1, NOTHING_READ), [], fleet)
+    _take_update(LeaderUpdate("g", 1, one, False, {}, None, 1, NOTHING_READ), [], fleet)
     assert fleet.residency.resident("u0") == {"a": frozenset()}
     assert fleet.residency.resident("u1") == {"b": frozenset({"x"})}
 
@@ -203,9 +203,9 @@
     giver = _giver_of_many(engine, worker, upstreams=78, link_mbps=10.0)
     for number in range(195):
         entries = [LoadEntry(f"u{n}", 1, 1000) for n in range(78)]
-        giver.heard(InstanceNews(f"i{number}", [], entries, [], []))
+        giver.heard(InstanceUpdate(f"i{number}", [], entries, [], []))
     started = time.monotonic()
     told = [giver.step() for _ in range(3)]
     seconds = time.monotonic() - started
-    sent = sum(len(msgspec.msgpack.encode(news)) for news in told if news is not None)
+    sent = sum(len(msgspec.msgpack.encode(update)) for update in told if update is not None)
     assert sent * 195 * 8 / seconds < 10e6
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_needs.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_needs.py
@@ -7,7 +7,7 @@
 from redwingscale_daemon._internal.forwarding.terms import Terms
 from redwingscale_daemon._internal.routes.urgency import Urgency
 from redwingscale_daemon._internal.swaps.demand import Demand
-from redwingscale_daemon._internal.swaps.messages import InstanceNews
+from redwingscale_daemon._internal.swaps.messages import InstanceUpdate
 from redwingscale_daemon._internal.swaps.needs import Needs
 from redwingscale_daemon._internal.swaps.planner import Planner
 
@@ -33,19 +33,19 @@
     assert needs.drain() == []
 
 
-def news_of(unit, priority, waits):
+def update_of(unit, priority, waits):
     """Return what an instance tells of ``waits`` requests that no upstream holds."""
     needs = Needs()
     for number in range(waits):
         terms = Terms(f"r{number}", 12.0, Prompt(unit, 1000, 100, ()), None)
         needs.arrived(SERVICE, terms, Urgency(priority).weight)
         needs.ask(SERVICE, unit, 10.0)
-    return InstanceNews(f"i-{unit}", needs.drain(), [], [], [])
+    return InstanceUpdate(f"i-{unit}", needs.drain(), [], [], [])
 
 
-def swap_for(engine, *news):
+def swap_for(engine, *updates):
     demand = Demand()
-    for one in news:
+    for one in updates:
         demand.heard(one)
     planner = Planner(SERVICE, engine, demand)
     return planner.best_swap(demand.waiting(), [view("u0", "a", "b")], cold_allowed=True)
@@ -60,12 +60,12 @@
     # The most urgent kind asks for rare models, one request each; less urgent ones asked
     # for another rare model a little more often, took the only place, and the urgent ones
     # were refused five times as often.
-    swap = swap_for(engine, news_of(Unit("c"), 2, waits=4), news_of(Unit("d"), 0, waits=3))
+    swap = swap_for(engine, update_of(Unit("c"), 2, waits=4), update_of(Unit("d"), 0, waits=3))
     assert swap.model.name == "d"
 
 
 def test_many_that_are_less_urgent_outweigh_one(engine):
-    swap = swap_for(engine, news_of(Unit("c"), 2, waits=20), news_of(Unit("d"), 0, waits=2))
+    swap = swap_for(engine, update_of(Unit("c"), 2, waits=20), update_of(Unit("d"), 0, waits=2))
     assert swap.model.name == "c"
 
 
@@ -76,7 +76,7 @@
     demand = Demand()
     planner = Planner(SERVICE, engine, demand)
     for _ in range(40):
-        demand.heard(news_of(Unit("c"), 2, waits=1))
+        demand.heard(update_of(Unit("c"), 2, waits=1))
         swap = planner.best_swap(demand.waiting(), [view("u0", "a", "b")], cold_allowed=True)
         if swap is not None:
             break
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
@@ -12,7 +12,7 @@
 from redwingscale_daemon._internal.fleet.upstream import ResidentModel, Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
 from redwingscale_daemon._internal.swaps.demand import Demand
-from redwingscale_daemon._internal.swaps.messages import InstanceNews, NeedEntry
+from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, NeedEntry
 from redwingscale_daemon._internal.swaps.planner import Planner
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
@@ -65,7 +65,7 @@
                       round((rate - served[name]) * STEP_SECONDS))
             for name, rate in self.rates.items()
         ]  # fmt: skip
-        self.demand.heard(InstanceNews("i1", needs, [], [], []))
+        self.demand.heard(InstanceUpdate("i1", needs, [], [], []))
         self._plan()
         return sum(served.values()) / sum(self.rates.values())
 
