--- a/benchmarks/giver_news.py
+++ b/benchmarks/giver_news.py
@@ -14,11 +14,11 @@
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
 from redwingscale_daemon._internal.swaps.demand import Demand, WaitingUnit
 from redwingscale_daemon._internal.swaps.messages import (
-    HeldEntry,
     InstanceUpdate,
     LeaderUpdate,
     LoadEntry,
     NeedEntry,
+    ResidencyEntry,
     StoreUpdate,
     UseEntry,
 )
@@ -66,13 +66,13 @@
     """Return the sizes of the messages, encoded as they are sent."""
     encode = msgspec.msgpack.Encoder().encode
     held = [
-        HeldEntry(view.upstream.id, {name: sorted(one) for name, one in view.resident.items()})
+        ResidencyEntry(view.upstream.id, {name: sorted(one) for name, one in view.resident.items()})
         for view in views
     ]
     loads = [LoadEntry(view.upstream.id, 7, 12_000) for view in views]
     store = StoreUpdate(123_456, ListUpdate([], [], 0.31, 2**63, 123_456), 42, 0.72)
 
-    def giver(entries: list[HeldEntry], sums: list[LoadEntry] | None) -> LeaderUpdate:
+    def giver(entries: list[ResidencyEntry], sums: list[LoadEntry] | None) -> LeaderUpdate:
         return LeaderUpdate(
             "edge-zone-a-1", 123, entries, sums is not None, {}, sums, instances, store
         )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -254,18 +254,18 @@
 
 
 def _take_update(update: LeaderUpdate, own_loads: list[LoadEntry], fleet: Fleet) -> None:
-    held = {
+    residency = {
         entry.upstream: {
             name: frozenset(adapters) for name, adapters in entry.adapters_by_model.items()
         }
-        for entry in update.held
+        for entry in update.residency
     }
-    take = fleet.residency.replace if update.all_held else fleet.residency.update
-    take(held, update.ready_in, update.fence)
+    take = fleet.residency.replace if update.residency_complete else fleet.residency.update
+    take(residency, update.ready_in, update.fence)
     fleet.rates.receive(update.rate_limits)
     fleet.directory.note_leaving(update.leaving, "order giver")
     if update.loads is not None:
-        fleet.outcomes.set_failure_ratios(update.failing)
+        fleet.outcomes.set_failure_ratios(update.failure_ratios)
         own = {entry.upstream: entry for entry in own_loads}
         fleet.load_tracker.set_others(
             {entry.upstream: _without(entry, own.get(entry.upstream)) for entry in update.loads}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
@@ -107,7 +107,7 @@
     rejecting: list[str] = []
 
 
-class HeldEntry(msgspec.Struct, array_like=True):
+class ResidencyEntry(msgspec.Struct, array_like=True):
     """What an upstream holds: adapters by model."""
 
     upstream: str
@@ -130,12 +130,12 @@
 class LeaderUpdate(msgspec.Struct, array_like=True):
     """From the order giver to each instance.
 
-    ``held`` tells all upstreams where ``all_held``, else those whose holdings have
+    ``residency`` tells all upstreams where ``residency_complete``, else those whose holdings have
     changed in the last second; ``ready_in`` gives seconds by unit that is being
     loaded. ``loads`` are the sums over all instances, each of which takes off what it
     has told itself: one entry an upstream for each instance would grow with the
     square of the deployment. They are None in news between the regular ones.
-    ``instances`` were heard of lately. ``failing`` are the parts of their requests that
+    ``instances`` were heard of lately. ``failure_ratios`` are the parts of their requests that
     upstreams fail over all instances, told with the regular news as ``grants`` are.
     ``peers`` are addresses of some instances, told with all that is held. ``rate_limits``
     are those of upstreams: all in regular news, else those with new permits. ``leaving``
@@ -143,15 +143,15 @@
     ``sent_at`` by the giver's monotonic clock.
     """
 
-    giver: str
+    leader: str
     fence: int
-    held: list[HeldEntry]
-    all_held: bool
+    residency: list[ResidencyEntry]
+    residency_complete: bool
     ready_in: dict[str, float]
     loads: list[LoadEntry] | None
     instances: int
     store: StoreUpdate
-    failing: dict[str, float] = {}
+    failure_ratios: dict[str, float] = {}
     grants: list[GrantEntry] | None = None
     peers: list[str] = []
     rate_limits: list[PermitEntry] = []
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/news_due.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/news_due.py
@@ -5,7 +5,7 @@
 
 from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.upstream import Upstream
-from redwingscale_daemon._internal.swaps.messages import HeldEntry, StoreUpdate
+from redwingscale_daemon._internal.swaps.messages import ResidencyEntry, StoreUpdate
 
 # News go out when something changes, and at least this often.
 UPDATE_SECONDS = 0.25
@@ -30,7 +30,7 @@
     """
 
     def __init__(self) -> None:
-        self._entries: dict[str, HeldEntry] = {}
+        self._entries: dict[str, ResidencyEntry] = {}
         self._changed_at: dict[str, float] = {}
         self._all_held_at = float("-inf")
         self._regular_at = float("-inf")
@@ -48,7 +48,7 @@
         *,
         regular: bool,
         instances: int = 0,
-    ) -> tuple[list[HeldEntry], bool]:
+    ) -> tuple[list[ResidencyEntry], bool]:
         """Return the entries to tell, and whether they are all there are.
 
         ``regular`` news are sent in any case, others only where something is new.
@@ -88,7 +88,7 @@
         self, held_by_upstream: Mapping[str, AdaptersByModel | None], now: float
     ) -> None:
         entries = {
-            key: HeldEntry(key, {name: sorted(adapters) for name, adapters in held.items()})
+            key: ResidencyEntry(key, {name: sorted(adapters) for name, adapters in held.items()})
             for key, held in held_by_upstream.items()
             if held is not None
         }
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -253,7 +253,7 @@
     def _tell(self, fence: int) -> LeaderUpdate | None:
         """Return the news, None where they would tell nothing and none are due."""
         regular = self._news.regular_due()
-        held, all_held = self._news.held(
+        residency, residency_complete = self._news.held(
             self._workers.resident_by_id(), regular=regular, instances=len(self._instances)
         )
         ready_in = self._workers.ready_in_by_model()
@@ -265,15 +265,15 @@
         return LeaderUpdate(
             self._right.instance,
             fence,
-            held,
-            all_held,
+            residency,
+            residency_complete,
             ready_in,
             loads if regular else None,
             len(self._instances),
             store,
             self._failing.ratios() if regular else {},
             self._use.grants(self._limits_by_name()) if regular else None,
-            self._some_peers() if all_held else [],
+            self._some_peers() if residency_complete else [],
             limits,
             self._directory.leaving_unlisted(),
         )
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
@@ -14,10 +14,10 @@
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling
 from redwingscale_daemon._internal.swaps.messages import (
-    HeldEntry,
     InstanceUpdate,
     LeaderUpdate,
     LoadEntry,
+    ResidencyEntry,
     StoreUpdate,
 )
 from redwingscale_daemon._internal.swaps.news_due import NewsDue
@@ -85,9 +85,9 @@
     monkeypatch.setattr(time, "monotonic", lambda: real() + 0.4)
     giver._wake.set()
     update = giver.step()
-    assert (update.held, update.all_held) == ([], False)
+    assert (update.residency, update.residency_complete) == ([], False)
     giver.heard(loads("i2", 1))
-    assert giver.step().all_held
+    assert giver.step().residency_complete
 
 
 def test_own_load_is_not_counted_twice():
@@ -104,7 +104,7 @@
     # A new giver says that nothing has changed; this instance has only the former
     # giver's view, and models have moved since.
     fleet = new_fleet()
-    held = [HeldEntry("u0", {"a": []})]
+    held = [ResidencyEntry("u0", {"a": []})]
     _take_update(LeaderUpdate("g", 1, held, True, {}, [], 1, NOTHING_READ), [], fleet)
     before = fleet.residency._view
     _take_update(LeaderUpdate("h", 2, [], False, {}, None, 1, NOTHING_READ), [], fleet)
@@ -127,13 +127,13 @@
     held["u7"] = {"a": frozenset({"x"})}
     for _ in range(2):
         told = due.held(held, regular=False)
-        assert told == ([HeldEntry("u7", {"a": ["x"]})], False)
+        assert told == ([ResidencyEntry("u7", {"a": ["x"]})], False)
         offset[0] += 0.4
     offset[0] += 0.5
     # News that may not be sent must not count as having told all.
     assert not due.held(held, regular=False)[1]
-    entries, all_held = due.held(held, regular=True)
-    assert (len(entries), all_held) == (45, True)
+    entries, residency_complete = due.held(held, regular=True)
+    assert (len(entries), residency_complete) == (45, True)
 
 
 def test_holdings_that_are_unknown_again_are_told_by_telling_all():
@@ -142,14 +142,14 @@
     due = NewsDue()
     due.held({"u0": {"a": frozenset()}, "u1": {"b": frozenset()}}, regular=True)
     told = due.held({"u0": {"a": frozenset()}, "u1": None}, regular=False)
-    assert told == ([HeldEntry("u0", {"a": []})], True)
+    assert told == ([ResidencyEntry("u0", {"a": []})], True)
 
 
 def test_changes_are_merged_into_the_view():
     fleet = new_fleet()
-    both = [HeldEntry("u0", {"a": []}), HeldEntry("u1", {"b": []})]
+    both = [ResidencyEntry("u0", {"a": []}), ResidencyEntry("u1", {"b": []})]
     _take_update(LeaderUpdate("g", 1, both, True, {}, [], 1, NOTHING_READ), [], fleet)
-    one = [HeldEntry("u1", {"b": ["x"]})]
+    one = [ResidencyEntry("u1", {"b": ["x"]})]
     _take_update(LeaderUpdate("g", 1, one, False, {}, None, 1, NOTHING_READ), [], fleet)
     assert fleet.residency.resident("u0") == {"a": frozenset()}
     assert fleet.residency.resident("u1") == {"b": frozenset({"x"})}
