--- a/benchmarks/giver_news.py
+++ b/benchmarks/giver_news.py
@@ -14,10 +14,10 @@
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
 from redwingscale_daemon._internal.swaps.demand import Demand, WaitingUnit
 from redwingscale_daemon._internal.swaps.messages import (
+    DemandEntry,
     InstanceUpdate,
     LeaderUpdate,
     LoadEntry,
-    NeedEntry,
     ResidencyEntry,
     StoreUpdate,
     UseEntry,
@@ -78,14 +78,14 @@
         )
 
     some = views[:OPEN_EACH]
-    needs = [NeedEntry(SERVICE, f"model{n:05}", "", 1, 0, 0.0) for n in range(4)]
+    demand = [DemandEntry(SERVICE, f"model{n:05}", "", 1, 0, 0.0) for n in range(4)]
     own_loads = [LoadEntry(view.upstream.id, 1, 1800) for view in some]
     uses = [UseEntry(view.upstream.id, next(iter(view.resident)), "a1", 1) for view in some]
     return {
         "all_held_bytes": len(encode(giver(held, loads))),
         "regular_bytes": len(encode(giver([], loads))),
         "change_bytes": len(encode(giver(held[:1], None))),
-        "instance_bytes": len(encode(InstanceUpdate("edge-zone-a-1", needs, own_loads, uses, []))),
+        "instance_bytes": len(encode(InstanceUpdate("edge-zone-a-1", demand, own_loads, uses, []))),
     }
 
 
@@ -94,7 +94,7 @@
     names = list(engine.models_by_name)
     demand = Demand()
     asked = rng.sample(names, int(len(names) * ASKED_PART))
-    entries = [NeedEntry(SERVICE, name, "", rng.randint(1, 5), 0, 0.0) for name in asked]
+    entries = [DemandEntry(SERVICE, name, "", rng.randint(1, 5), 0, 0.0) for name in asked]
     demand.heard(InstanceUpdate("i", entries, [], [], []))
     waiting = [
         WaitingUnit(SERVICE, Unit(name), 2, 5.0)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -24,6 +24,7 @@
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling
+from redwingscale_daemon._internal.swaps.local_demand import LocalDemand
 from redwingscale_daemon._internal.swaps.messages import (
     InstanceUpdate,
     LeaderUpdate,
@@ -32,7 +33,6 @@
     StoreUpdate,
     UseEntry,
 )
-from redwingscale_daemon._internal.swaps.needs import Needs
 from redwingscale_daemon._internal.swaps.order_client import EngineCalls, OrderClient
 from redwingscale_daemon._internal.swaps.order_giver import OrderGiver
 from redwingscale_daemon._internal.swaps.permit_issuer import PermitIssuer
@@ -67,7 +67,7 @@
     ``fetch_announced`` brings a configuration that it has told.
     """
 
-    needs: Needs
+    local_demand: LocalDemand
     tasks: tuple[Task, ...]
     release: Callable[[], None]
     instances: Callable[[], int]
@@ -124,7 +124,7 @@
         ),
     )
     lease_retry = Backoff()
-    needs = Needs()
+    local_demand = LocalDemand()
     # What callers ask for here, for order givers that take over later.
     own_demand = Demand()
     bounds = settings.bounds
@@ -167,7 +167,7 @@
         unreachable = fleet.health.all_unreachable()
         update = InstanceUpdate(
             me,
-            needs.drain(),
+            local_demand.drain(),
             loads,
             uses,
             unreachable,
@@ -215,7 +215,7 @@
     fleet.directory.on_gone(giver.forget)
     peers = build_peers(settings, routes, reads, route_versions, lease, fleet)
     link = GiverLink(lease, me, make_update, on_leader_update, giver.heard)
-    needs.on_new_wait(link.wake)
+    local_demand.on_new_wait(link.wake)
     fleet.rates.on_update(link.wake)
 
     def follow_lease() -> None:
@@ -236,7 +236,7 @@
             on_leader_update(update)
 
     return Swaps(
-        needs=needs,
+        local_demand=local_demand,
         tasks=(
             hub,
             *peers.tasks,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -39,16 +39,16 @@
 STOPPING_COME_BACK_SECONDS = 0.05
 
 
-class Needs(Protocol):
+class WaitSink(Protocol):
     """Takes what waiting requests need."""
 
-    def ask(self, service: str, unit: Unit, patience_seconds: float) -> None:
+    def begin_wait(self, service: str, unit: Unit, patience_seconds: float) -> None:
         """Note that a request waits for ``unit``."""
 
-    def done(self, service: str, unit: Unit) -> None:
+    def end_wait(self, service: str, unit: Unit) -> None:
         """Note that it waits no more."""
 
-    def missed(self, service: str, unit: Unit) -> None:
+    def note_overload(self, service: str, unit: Unit) -> None:
         """Note a request whose holders were too busy for it."""
 
 
@@ -58,7 +58,7 @@
     chooser: Chooser
     changes: Changes
     residency: Residency
-    needs: Needs
+    demand: WaitSink
     open_requests: OpenRequests
     gate: SendGate
     # When to come back if this instance hears neither the order giver nor the list, None
@@ -78,11 +78,11 @@
         if throttled:
             self._check_queue(call, prompt, throttled)
         with self.gate.waiting(throttled):
-            self.needs.ask(call.service, prompt.unit, _patience(call))
+            self.demand.begin_wait(call.service, prompt.unit, _patience(call))
             try:
                 return self._wait(call, prompt)
             finally:
-                self.needs.done(call.service, prompt.unit)
+                self.demand.end_wait(call.service, prompt.unit)
 
     def _check_queue(self, call: Call, prompt: Prompt, throttled: list[str]) -> None:
         """Raise `Refusal` where neither the holders that take none now nor a load serve it in time."""
@@ -95,7 +95,7 @@
         try:
             SendWait(self.gate, self.changes).check_queue(call, throttled, _patience(call))
         except Refusal:
-            self.needs.missed(call.service, prompt.unit)
+            self.demand.note_overload(call.service, prompt.unit)
             raise
 
     def _in_time(self, call: Call, prompt: Prompt, found: Candidate) -> Candidate:
@@ -110,7 +110,7 @@
         refusal = _overloaded(call, best or found)
         if refusal is None:
             return best or found
-        self.needs.missed(call.service, prompt.unit)
+        self.demand.note_overload(call.service, prompt.unit)
         raise refusal
 
     def _wait(self, call: Call, prompt: Prompt) -> Candidate:
@@ -145,7 +145,7 @@
         retry_in = self.gate.retry_seconds(throttled)
         if not throttled or retry_in <= max(0.0, _patience(call)):
             return
-        self.needs.missed(call.service, prompt.unit)
+        self.demand.note_overload(call.service, prompt.unit)
         detail = f"{','.join(throttled)} may be asked again in {retry_in:.2f} s"
         come_back = min(retry_in, ready_in or COME_BACK_SECONDS)
         raise given_up(call, "upstream_rejects", detail, come_back)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -194,7 +194,7 @@
 
     def _note_late(self, call: Call) -> None:
         if call.terms.prompt is not None:
-            self._wait.needs.missed(call.service, call.terms.prompt.unit)
+            self._wait.demand.note_overload(call.service, call.terms.prompt.unit)
 
     def _pass_failure(self, call: Call, answering: Answering) -> bool:
         body = read_whole(answering.response)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -7,10 +7,10 @@
 
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.messages import (
+    DemandEntry,
     DemandSoFar,
     InstanceUpdate,
     ModelRates,
-    NeedEntry,
     UnitRate,
 )
 from redwingscale_daemon._internal.utils.fading_rate import FadingRate
@@ -67,7 +67,7 @@
         self._missed_adapters: dict[tuple[str, Unit], FadingRate] = {}
         self._peaks: dict[tuple[str, str], float] = {}
         self._missing_since: dict[tuple[str, str], float] = {}
-        self._waiting: dict[str, tuple[float, list[NeedEntry]]] = {}
+        self._waiting: dict[str, tuple[float, list[DemandEntry]]] = {}
         self._first_copies: dict[tuple[str, str], int] = {}
         self._first_arrival_at: float | None = None
         self._introduced: set[str] = set()
@@ -85,11 +85,14 @@
             if update.so_far is not None and update.instance not in self._introduced:
                 self._introduced.add(update.instance)
                 self._adopt(update.so_far, now)
-            self._waiting[update.instance] = (now, [need for need in update.needs if need.waiting])
-            if update.needs and self._first_arrival_at is None:
+            self._waiting[update.instance] = (
+                now,
+                [entry for entry in update.demand if entry.waiting],
+            )
+            if update.demand and self._first_arrival_at is None:
                 self._first_arrival_at = now
-            for need in update.needs:
-                self._count(need, now)
+            for entry in update.demand:
+                self._count(entry, now)
 
     def forget_introductions(self) -> None:
         """Take what instances have been asked for so far once more; for a new term."""
@@ -122,19 +125,19 @@
         """Return what requests wait for, the least patient first."""
         now = time.monotonic()
         with self._lock:
-            needs = [
-                (need, heard_at)
+            waiting = [
+                (entry, heard_at)
                 for heard_at, entries in self._waiting.values()
                 if now - heard_at < UPDATE_FRESH_SECONDS
-                for need in entries
+                for entry in entries
             ]
         by_unit: dict[tuple[str, Unit], WaitingUnit] = {}
-        for need, heard_at in needs:
-            key = (need.service, Unit(need.model, need.adapter))
-            patience = need.patience_seconds - (now - heard_at)
+        for entry, heard_at in waiting:
+            key = (entry.service, Unit(entry.model, entry.adapter))
+            patience = entry.patience_seconds - (now - heard_at)
             known = by_unit.get(key, WaitingUnit(*key, 0, 0.0))
             by_unit[key] = known._replace(
-                requests=known.requests + need.waiting * need.weight,
+                requests=known.requests + entry.waiting * entry.weight,
                 patience_seconds=max(known.patience_seconds, patience),
             )
         return sorted(by_unit.values(), key=lambda waiting: waiting.patience_seconds)
@@ -244,19 +247,19 @@
             unit = (entry.service, Unit(entry.model, entry.adapter))
             self._rates[unit] = self._rates.get(unit, _STEADY).raised(entry.steady, now)
 
-    def _count(self, need: NeedEntry, now: float) -> None:
-        key = (need.service, Unit(need.model, need.adapter))
-        self._rates[key] = self._rates.get(key, _STEADY).plus(need.arrivals, now)
-        model = (need.service, need.model)
-        steady = self._model_rates.get(model, _STEADY).plus(need.arrivals, now)
-        recent = self._recent_rates.get(model, _LEAVING).plus(need.arrivals, now)
-        missed = self._missed_rates.get(model, _LEAVING).plus(need.missed, now)
+    def _count(self, entry: DemandEntry, now: float) -> None:
+        key = (entry.service, Unit(entry.model, entry.adapter))
+        self._rates[key] = self._rates.get(key, _STEADY).plus(entry.arrivals, now)
+        model = (entry.service, entry.model)
+        steady = self._model_rates.get(model, _STEADY).plus(entry.arrivals, now)
+        recent = self._recent_rates.get(model, _LEAVING).plus(entry.arrivals, now)
+        missed = self._missed_rates.get(model, _LEAVING).plus(entry.missed, now)
         self._model_rates[model] = steady
         self._recent_rates[model] = recent
         self._missed_rates[model] = missed
-        if need.missed and need.adapter:
-            unit = (need.service, Unit(need.model, need.adapter))
+        if entry.missed and entry.adapter:
+            unit = (entry.service, Unit(entry.model, entry.adapter))
             before = self._missed_adapters.get(unit, _LEAVING)
-            self._missed_adapters[unit] = before.plus(need.missed, now)
-        if need.arrivals:
+            self._missed_adapters[unit] = before.plus(entry.missed, now)
+        if entry.arrivals:
             self._peaks[model] = max(self._peaks.get(model, 0.0), steady.per_second)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/needs.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/local_demand.py
@@ -7,14 +7,14 @@
 
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.forwarding.terms import Terms
-from redwingscale_daemon._internal.swaps.messages import NeedEntry
+from redwingscale_daemon._internal.swaps.messages import DemandEntry
 
 _Key = tuple[str, Unit]
 # Of the mean weight of a unit's requests; a unit is mostly asked for by one route.
 NEWEST_PART = 0.25
 
 
-class Needs:
+class LocalDemand:
     """Counts arrivals and waiting requests by unit; tells at once of a new wait."""
 
     def __init__(self) -> None:
@@ -40,12 +40,12 @@
                 before = self._weights.get(key, weight)
                 self._weights[key] = before + (weight - before) * NEWEST_PART
 
-    def missed(self, service: str, unit: Unit) -> None:
+    def note_overload(self, service: str, unit: Unit) -> None:
         """Count a request that another copy of ``unit``'s model would have served in time."""
         with self._lock:
             self._missed[(service, unit)] += 1
 
-    def ask(self, service: str, unit: Unit, patience_seconds: float) -> None:
+    def begin_wait(self, service: str, unit: Unit, patience_seconds: float) -> None:
         """Note that a request waits for ``unit``."""
         key = (service, unit)
         with self._lock:
@@ -53,7 +53,7 @@
             self._give_up_at[key].append(time.monotonic() + patience_seconds)
         self._wake()
 
-    def done(self, service: str, unit: Unit) -> None:
+    def end_wait(self, service: str, unit: Unit) -> None:
         """Note that it waits no more."""
         key = (service, unit)
         with self._lock:
@@ -62,7 +62,7 @@
                 del self._waiting[key]
                 self._give_up_at.pop(key, None)
 
-    def drain(self) -> list[NeedEntry]:
+    def drain(self) -> list[DemandEntry]:
         """Return what was asked for since the last call, and who waits now."""
         now = time.monotonic()
         with self._lock:
@@ -72,7 +72,7 @@
             weights = dict(self._weights)
             longest = {key: max(ends) - now for key, ends in self._give_up_at.items()}
         return [
-            NeedEntry(
+            DemandEntry(
                 service,
                 unit.model,
                 unit.adapter,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
@@ -7,7 +7,7 @@
 from redwingscale_daemon._internal.workspaces.use_messages import DrawnEntry, GrantEntry
 
 
-class NeedEntry(msgspec.Struct, array_like=True):
+class DemandEntry(msgspec.Struct, array_like=True):
     """How much a unit is asked for at one instance since its last message.
 
     ``waiting`` requests have no holder; the most patient of them can wait for
@@ -94,7 +94,7 @@
     """
 
     instance: str
-    needs: list[NeedEntry]
+    demand: list[DemandEntry]
     loads: list[LoadEntry]
     uses: list[UseEntry]
     unreachable: list[str]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -118,7 +118,7 @@
             # It knows nothing of what is held.
             self._news.newcomer()
             self._wake.set()
-        if any(need.waiting for need in update.needs):
+        if any(entry.waiting for entry in update.demand):
             self._wake.set()
 
     def forget(self, upstream_ids: set[str]) -> None:
--- a/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
@@ -26,7 +26,7 @@
 from redwingscale_daemon._internal.routes.idempotency import Idempotency
 from redwingscale_daemon._internal.routes.route import Route, WeightedService
 from redwingscale_daemon._internal.routes.route_table import IngressLimits, RouteTable
-from redwingscale_daemon._internal.swaps.needs import Needs
+from redwingscale_daemon._internal.swaps.local_demand import LocalDemand
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
 
 HOST = "a.example"
@@ -204,7 +204,7 @@
         self.directory = fleet.directory
         self.pool = ConnectionPool()
         self.open_requests = OpenRequests()
-        self.needs = Needs()
+        self.local_demand = LocalDemand()
         self.ended = []
         self.limiter = UseLimiter(lambda: 1)
         self.load_tracker = fleet.load_tracker
@@ -229,14 +229,14 @@
             chooser,
             self.changes,
             self.residency,
-            self.needs,
+            self.local_demand,
             self.open_requests,
             fleet.gate,
             lambda: self.cut_off,
         )
         entry = Entry(
             self.routes, exchange, PlainRelay(parts, self.changes), StreamRelay(parts, wait, fleet.prefixes),
-            self.needs, budget, self.open_requests, _Outcomes(self.ended),
+            self.local_demand, budget, self.open_requests, _Outcomes(self.ended),
             self.limiter,
         )  # fmt: skip
         self.server = IngressServer(
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_keys.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_keys.py
@@ -98,7 +98,7 @@
     world.configure(2, keys("clerks"))
     world.add("llm", events(1, 2), models=())
     caller = world.send("/long/", model="m", headers=(BEARER,))
-    _until(lambda: world.needs.drain())
+    _until(lambda: world.local_demand.drain())
     world.configure(3, WorkspaceKeys({}))
     scripted, listed = world.upstreams[0]
     held = {"m": ResidentModel("m", 1, frozenset())}
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
@@ -9,7 +9,7 @@
 from redwingscale_daemon._internal.fleet.prompt import Prompt
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.forwarding.holder_wait import HolderWait
-from redwingscale_daemon._internal.swaps.needs import Needs
+from redwingscale_daemon._internal.swaps.local_demand import LocalDemand
 
 PROMPT = Prompt(Unit("m"), 1000, 10, ())
 
@@ -39,25 +39,25 @@
     )
 
 
-def candidate(call, drawn, best, needs):
-    wait = HolderWait(Holders(drawn, best), None, None, needs, None, None)
+def candidate(call, drawn, best, local_demand):
+    wait = HolderWait(Holders(drawn, best), None, None, local_demand, None, None)
     return wait.candidate(call, PROMPT)
 
 
 def test_a_calm_holder_that_was_not_drawn_takes_the_request(call):
     # Both holders that were drawn had seconds of others' prompts before them, and the
     # request was refused though ten more held its model and were calm.
-    needs = Needs()
-    found = candidate(call, holder("u0", 3000.0), holder("u7", 100.0), needs)
+    local_demand = LocalDemand()
+    found = candidate(call, holder("u0", 3000.0), holder("u7", 100.0), local_demand)
     assert found.upstream.id == "u7"
-    assert needs.drain() == []
+    assert local_demand.drain() == []
 
 
 def test_where_all_holders_are_too_late_it_is_refused_at_once(call):
-    needs = Needs()
+    local_demand = LocalDemand()
     with pytest.raises(Refusal) as raised:
-        candidate(call, holder("u0", 5000.0), holder("u7", 3000.0), needs)
+        candidate(call, holder("u0", 5000.0), holder("u7", 3000.0), local_demand)
     assert (raised.value.status, raised.value.code) == (503, "overloaded")
     # When the best of all has caught up, not the one that was drawn.
     assert raised.value.retry_after_seconds == pytest.approx(1.4, abs=0.2)
-    assert [entry.missed for entry in needs.drain()] == [1]
+    assert [entry.missed for entry in local_demand.drain()] == [1]
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
@@ -99,7 +99,7 @@
 
     threading.Thread(target=arrives).start()
     assert numbers(read_answer(caller)) == [1]
-    assert world.needs.drain()[0].waiting == 0
+    assert world.local_demand.drain()[0].waiting == 0
 
 
 def test_request_that_cannot_be_served_in_time_is_refused_at_once(world):
--- a/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
@@ -8,7 +8,7 @@
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
 from redwingscale_daemon._internal.store.rows import Snapshot, StoredRow
 from redwingscale_daemon._internal.swaps.engine_report import EngineReport
-from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, NeedEntry
+from redwingscale_daemon._internal.swaps.messages import DemandEntry, InstanceUpdate
 from redwingscale_daemon._internal.swaps.order import Load, OrderResult
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
@@ -42,14 +42,14 @@
 
 
 def update(instance="i1", **arrivals):
-    needs = [NeedEntry(SERVICE, name, "", count, 0, 0.0) for name, count in arrivals.items()]
-    return InstanceUpdate(instance, needs, [], [], [])
+    entries = [DemandEntry(SERVICE, name, "", count, 0, 0.0) for name, count in arrivals.items()]
+    return InstanceUpdate(instance, entries, [], [], [])
 
 
 def overload_update(model, arrivals, missed):
     """News of requests that a model's holders were too busy for."""
-    need = NeedEntry(SERVICE, model, "", arrivals, 0, 0.0, missed)
-    return InstanceUpdate("i1", [need], [], [], [])
+    entry = DemandEntry(SERVICE, model, "", arrivals, 0, 0.0, missed)
+    return InstanceUpdate("i1", [entry], [], [], [])
 
 
 class MemoryStore:
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
@@ -6,7 +6,7 @@
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.adapter_spread import AdapterSpread
 from redwingscale_daemon._internal.swaps.demand import Demand
-from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, NeedEntry
+from redwingscale_daemon._internal.swaps.messages import DemandEntry, InstanceUpdate
 
 from .conftest import SERVICE, upstream
 from .conftest import view as plain_view
@@ -40,8 +40,8 @@
         arrivals = int(per_second * STEP_SECONDS)
         served = min(arrivals, int(len(holders) * WORKER_PER_SECOND * STEP_SECONDS))
         missed = arrivals - served
-        need = NeedEntry(SERVICE, "a", "a1", arrivals, 0, 0.0, missed)
-        demand.heard(InstanceUpdate("i1", [need], [], [], []))
+        entry = DemandEntry(SERVICE, "a", "a1", arrivals, 0, 0.0, missed)
+        demand.heard(InstanceUpdate("i1", [entry], [], [], []))
         busy = per_second // len(holders)
         views = [
             view(f"u{n}", busy if n in holders else 1, *(["a1"] if n in holders else []))
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
@@ -7,7 +7,7 @@
 from redwingscale_daemon._internal.swaps.carried_models import with_carried_models
 from redwingscale_daemon._internal.swaps.demand import Demand
 from redwingscale_daemon._internal.swaps.instance_totals import NO_TOTALS
-from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, NeedEntry
+from redwingscale_daemon._internal.swaps.messages import DemandEntry, InstanceUpdate
 from redwingscale_daemon._internal.swaps.service_views import ServiceViews
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
@@ -53,7 +53,7 @@
 
 def missing(rates_by_id, views, totals=NO_TOTALS):
     demand = Demand()
-    refused = NeedEntry("llm", "busy", "", 8, 0, 0.0, missed=8)
+    refused = DemandEntry("llm", "busy", "", 8, 0, 0.0, missed=8)
     demand.heard(InstanceUpdate("i0", [refused], [], [], []))
     engine = EngineRule(64, 100_000, 200.0, 8, 1.0, dict.fromkeys(ASKED))
     found = ServiceViews(None, None, demand, lambda: rates_by_id).missing(
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_needs.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_local_demand.py
@@ -7,8 +7,8 @@
 from redwingscale_daemon._internal.forwarding.terms import Terms
 from redwingscale_daemon._internal.routes.urgency import Urgency
 from redwingscale_daemon._internal.swaps.demand import Demand
+from redwingscale_daemon._internal.swaps.local_demand import LocalDemand
 from redwingscale_daemon._internal.swaps.messages import InstanceUpdate
-from redwingscale_daemon._internal.swaps.needs import Needs
 from redwingscale_daemon._internal.swaps.planner import Planner
 
 from .conftest import SERVICE, view
@@ -17,30 +17,30 @@
 
 
 def test_request_that_a_full_holder_missed_is_told_once():
-    needs = Needs()
-    needs.missed("llm", UNIT)
-    assert [entry.missed for entry in needs.drain()] == [1]
-    assert needs.drain() == []
+    local_demand = LocalDemand()
+    local_demand.note_overload("llm", UNIT)
+    assert [entry.missed for entry in local_demand.drain()] == [1]
+    assert local_demand.drain() == []
 
 
 def test_wait_is_told_until_it_ends():
-    needs = Needs()
-    needs.ask("llm", UNIT, 3.0)
+    local_demand = LocalDemand()
+    local_demand.begin_wait("llm", UNIT, 3.0)
     for _ in range(2):
-        (entry,) = needs.drain()
+        (entry,) = local_demand.drain()
         assert (entry.waiting, 2.5 < entry.patience_seconds <= 3.0) == (1, True)
-    needs.done("llm", UNIT)
-    assert needs.drain() == []
+    local_demand.end_wait("llm", UNIT)
+    assert local_demand.drain() == []
 
 
 def update_of(unit, priority, waits):
     """Return what an instance tells of ``waits`` requests that no upstream holds."""
-    needs = Needs()
+    local_demand = LocalDemand()
     for number in range(waits):
         terms = Terms(f"r{number}", 12.0, Prompt(unit, 1000, 100, ()), None)
-        needs.arrived(SERVICE, terms, Urgency(priority).weight)
-        needs.ask(SERVICE, unit, 10.0)
-    return InstanceUpdate(f"i-{unit}", needs.drain(), [], [], [])
+        local_demand.arrived(SERVICE, terms, Urgency(priority).weight)
+        local_demand.begin_wait(SERVICE, unit, 10.0)
+    return InstanceUpdate(f"i-{unit}", local_demand.drain(), [], [], [])
 
 
 def swap_for(engine, *updates):
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
@@ -12,7 +12,7 @@
 from redwingscale_daemon._internal.fleet.upstream import ResidentModel, Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
 from redwingscale_daemon._internal.swaps.demand import Demand
-from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, NeedEntry
+from redwingscale_daemon._internal.swaps.messages import DemandEntry, InstanceUpdate
 from redwingscale_daemon._internal.swaps.planner import Planner
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
@@ -60,12 +60,12 @@
                 self.settled_at[worker][name] = self.clock[0]
                 del self.loading[worker]
         served = {name: self._served(name, rate) for name, rate in self.rates.items()}
-        needs = [
-            NeedEntry(SERVICE, name, "", round(rate * STEP_SECONDS), 0, 0.0,
+        entries = [
+            DemandEntry(SERVICE, name, "", round(rate * STEP_SECONDS), 0, 0.0,
                       round((rate - served[name]) * STEP_SECONDS))
             for name, rate in self.rates.items()
         ]  # fmt: skip
-        self.demand.heard(InstanceUpdate("i1", needs, [], [], []))
+        self.demand.heard(InstanceUpdate("i1", entries, [], [], []))
         self._plan()
         return sum(served.values()) / sum(self.rates.values())
 
