--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
@@ -36,7 +36,7 @@
         self, service: str, engine: EngineRule, views: Callable[[str], list[WorkerView]]
     ) -> None:
         """Load adapters whose holders are too busy at calmer copies of their models."""
-        missed = self._demand.missed_adapters(service)
+        missed = self._demand.overloaded_adapters(service)
         if not missed:
             return
         for copy in self._spread.copies(missed, views(service), engine.adapter_slots):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -157,14 +157,14 @@
         return min(steady, self._recent_rates.get(key, _LEAVING).now(now))
 
     def recent_rate(self, service: str, model: str) -> float:
-        """Return the arrivals a second of ``model``, by the memory of `missed_rate`."""
+        """Return the arrivals a second of ``model``, by the memory of `overload_rate`."""
         return self._recent_rates.get((service, model), _LEAVING).now(time.monotonic())
 
-    def missed_rate(self, service: str, model: str) -> float:
+    def overload_rate(self, service: str, model: str) -> float:
         """Return the requests a second whose holders of ``model`` were too busy."""
         return self._missed_rates.get((service, model), _LEAVING).now(time.monotonic())
 
-    def missed_adapters(self, service: str) -> list[Unit]:
+    def overloaded_adapters(self, service: str) -> list[Unit]:
         """Return the adapters whose holders were too busy lately, the most missed first."""
         now = time.monotonic()
         with self._lock:
@@ -240,7 +240,9 @@
             key = (told.service, told.model)
             self._model_rates[key] = self._model_rates.get(key, _STEADY).raised(told.steady, now)
             self._recent_rates[key] = self._recent_rates.get(key, _LEAVING).raised(told.recent, now)
-            self._missed_rates[key] = self._missed_rates.get(key, _LEAVING).raised(told.missed, now)
+            self._missed_rates[key] = self._missed_rates.get(key, _LEAVING).raised(
+                told.overloads, now
+            )
             if told.peak:
                 self._peaks[key] = self._peaks.get(key, 0.0) + told.peak
         for entry in so_far.units:
@@ -253,13 +255,13 @@
         model = (entry.service, entry.model)
         steady = self._model_rates.get(model, _STEADY).plus(entry.arrivals, now)
         recent = self._recent_rates.get(model, _LEAVING).plus(entry.arrivals, now)
-        missed = self._missed_rates.get(model, _LEAVING).plus(entry.missed, now)
+        missed = self._missed_rates.get(model, _LEAVING).plus(entry.overloads, now)
         self._model_rates[model] = steady
         self._recent_rates[model] = recent
         self._missed_rates[model] = missed
-        if entry.missed and entry.adapter:
+        if entry.overloads and entry.adapter:
             unit = (entry.service, Unit(entry.model, entry.adapter))
             before = self._missed_adapters.get(unit, _LEAVING)
-            self._missed_adapters[unit] = before.plus(entry.missed, now)
+            self._missed_adapters[unit] = before.plus(entry.overloads, now)
         if entry.arrivals:
             self._peaks[model] = max(self._peaks.get(model, 0.0), steady.per_second)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
@@ -11,7 +11,7 @@
     """How much a unit is asked for at one instance since its last message.
 
     ``waiting`` requests have no holder; the most patient of them can wait for
-    ``patience_seconds`` more. ``missed`` had holders that were too busy: they were
+    ``patience_seconds`` more. ``overloads`` had holders that were too busy: they were
     refused for it, or had their first event after their latency target. Each that waits
     counts ``weight`` times, by its urgency.
     """
@@ -22,7 +22,7 @@
     arrivals: int
     waiting: int
     patience_seconds: float
-    missed: int = 0
+    overloads: int = 0
     weight: float = 1.0
 
 
@@ -46,7 +46,7 @@
 class ModelRates(msgspec.Struct, array_like=True):
     """What one instance has been asked for of a model, adapters included, a second.
 
-    ``steady`` and ``recent`` arrivals and ``missed`` ones fade with the half-lives of
+    ``steady`` and ``recent`` arrivals and ``overloads`` ones fade with the half-lives of
     the demand that they come from; ``peak`` is the highest steady rate so far.
     """
 
@@ -54,7 +54,7 @@
     model: str
     steady: float
     recent: float
-    missed: float
+    overloads: float
     peak: float
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
@@ -177,7 +177,7 @@
         """
         expected = self._expected(name)
         taken_over = self._demand.recent_rate(self._service, name) * coming / holders
-        left = max(0.0, self._demand.missed_rate(self._service, name) - taken_over)
+        left = max(0.0, self._demand.overload_rate(self._service, name) - taken_over)
         missed = left * HORIZON_SECONDS * RELIEF_PART
         if coming >= 1:
             return missed
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
@@ -64,6 +64,6 @@
         refused = [
             WaitingUnit(service, Unit(name), rate, 0.0)
             for name in engine.models_by_name.keys() - known
-            if (rate := self._demand.missed_rate(service, name)) >= LEAST_REFUSED_PER_SECOND
+            if (rate := self._demand.overload_rate(service, name)) >= LEAST_REFUSED_PER_SECOND
         ]
         return waiting + refused
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
@@ -60,4 +60,4 @@
     assert (raised.value.status, raised.value.code) == (503, "overloaded")
     # When the best of all has caught up, not the one that was drawn.
     assert raised.value.retry_after_seconds == pytest.approx(1.4, abs=0.2)
-    assert [entry.missed for entry in local_demand.drain()] == [1]
+    assert [entry.overloads for entry in local_demand.drain()] == [1]
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
@@ -47,7 +47,7 @@
             view(f"u{n}", busy if n in holders else 1, *(["a1"] if n in holders else []))
             for n in range(copies)
         ]
-        for copy in spread.copies(demand.missed_adapters(SERVICE), views, SLOTS):
+        for copy in spread.copies(demand.overloaded_adapters(SERVICE), views, SLOTS):
             demand.relieved(SERVICE, copy.unit)
             holders.add(int(copy.view.upstream.id[1:]))
         late_ones, sent = late_ones + missed, sent + arrivals
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_local_demand.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_local_demand.py
@@ -19,7 +19,7 @@
 def test_request_that_a_full_holder_missed_is_told_once():
     local_demand = LocalDemand()
     local_demand.note_overload("llm", UNIT)
-    assert [entry.missed for entry in local_demand.drain()] == [1]
+    assert [entry.overloads for entry in local_demand.drain()] == [1]
     assert local_demand.drain() == []
 
 
