--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -42,7 +42,7 @@
 class WaitSink(Protocol):
     """Takes what waiting requests need."""
 
-    def begin_wait(self, service: str, unit: Unit, patience_seconds: float) -> None:
+    def begin_wait(self, service: str, unit: Unit, max_wait_seconds: float) -> None:
         """Note that a request waits for ``unit``."""
 
     def end_wait(self, service: str, unit: Unit) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/send_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/send_wait.py
@@ -21,38 +21,38 @@
         self._gate = gate
         self._changes = changes
 
-    def check_queue(self, call: Call, throttled: Collection[str], patience_seconds: float) -> None:
+    def check_queue(self, call: Call, throttled: Collection[str], max_wait_seconds: float) -> None:
         """Raise `Refusal` where no upstream takes the request as long as it can wait."""
-        if self._gate.wait_seconds(throttled) > patience_seconds:
-            raise self._refusal(call, throttled, patience_seconds)
+        if self._gate.wait_seconds(throttled) > max_wait_seconds:
+            raise self._refusal(call, throttled, max_wait_seconds)
 
     def candidate(
         self,
         call: Call,
         throttled: Collection[str],
-        patience_seconds: Callable[[], float],
+        max_wait_seconds: Callable[[], float],
         choose: Callable[[], Candidate | None],
     ) -> Candidate:
         """Return what ``choose`` finds before patience ends; raise `Refusal`, `CallerLeft`."""
-        self.check_queue(call, throttled, patience_seconds())
+        self.check_queue(call, throttled, max_wait_seconds())
         with self._gate.waiting(throttled):
             while True:
                 seen = self._changes.count
                 if (found := choose()) is not None:
                     return found
                 # A rejection may have come meanwhile that names a later time.
-                patience = max(0.0, patience_seconds())
+                patience = max(0.0, max_wait_seconds())
                 if not patience or self._gate.retry_seconds(throttled) > patience:
                     raise self._refusal(call, throttled, patience)
                 self._changes.wait(seen, LOOK_SECONDS)
                 call.watch.check_caller()
 
-    def _refusal(self, call: Call, throttled: Collection[str], patience_seconds: float) -> Refusal:
+    def _refusal(self, call: Call, throttled: Collection[str], max_wait_seconds: float) -> Refusal:
         wait = self._gate.wait_seconds(throttled)
         limited = self._gate.rate_limited(throttled)
         return given_up(
             call,
             "upstream_rate_limited" if limited else "upstream_rejects",
-            f"{','.join(throttled)} would take it in {wait:.2f} s, {patience_seconds:.2f} s are left",
+            f"{','.join(throttled)} would take it in {wait:.2f} s, {max_wait_seconds:.2f} s are left",
             max(LEAST_COME_BACK_SECONDS, wait),
         )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -42,13 +42,13 @@
 class WaitingUnit(NamedTuple):
     """Requests that wait for a unit, each counted as often as it is urgent.
 
-    The most patient of them gives up after ``patience_seconds``.
+    The most patient of them gives up after ``max_wait_seconds``.
     """
 
     service: str
     unit: Unit
     requests: float
-    patience_seconds: float
+    max_wait_seconds: float
 
 
 _STEADY = FadingRate(MEMORY_SECONDS)
@@ -134,13 +134,13 @@
         by_unit: dict[tuple[str, Unit], WaitingUnit] = {}
         for entry, heard_at in waiting:
             key = (entry.service, Unit(entry.model, entry.adapter))
-            patience = entry.patience_seconds - (now - heard_at)
+            patience = entry.max_wait_seconds - (now - heard_at)
             known = by_unit.get(key, WaitingUnit(*key, 0, 0.0))
             by_unit[key] = known._replace(
                 requests=known.requests + entry.waiting * entry.weight,
-                patience_seconds=max(known.patience_seconds, patience),
+                max_wait_seconds=max(known.max_wait_seconds, patience),
             )
-        return sorted(by_unit.values(), key=lambda waiting: waiting.patience_seconds)
+        return sorted(by_unit.values(), key=lambda waiting: waiting.max_wait_seconds)
 
     def rate(self, service: str, unit: Unit) -> float:
         """Return the arrivals a second of ``unit`` alone, faded."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/local_demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/local_demand.py
@@ -45,12 +45,12 @@
         with self._lock:
             self._missed[(service, unit)] += 1
 
-    def begin_wait(self, service: str, unit: Unit, patience_seconds: float) -> None:
+    def begin_wait(self, service: str, unit: Unit, max_wait_seconds: float) -> None:
         """Note that a request waits for ``unit``."""
         key = (service, unit)
         with self._lock:
             self._waiting[key] += 1
-            self._give_up_at[key].append(time.monotonic() + patience_seconds)
+            self._give_up_at[key].append(time.monotonic() + max_wait_seconds)
         self._wake()
 
     def end_wait(self, service: str, unit: Unit) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
@@ -11,7 +11,7 @@
     """How much a unit is asked for at one instance since its last message.
 
     ``waiting`` requests have no holder; the most patient of them can wait for
-    ``patience_seconds`` more. ``overloads`` had holders that were too busy: they were
+    ``max_wait_seconds`` more. ``overloads`` had holders that were too busy: they were
     refused for it, or had their first event after their latency target. Each that waits
     counts ``weight`` times, by its urgency.
     """
@@ -21,7 +21,7 @@
     adapter: str
     arrivals: int
     waiting: int
-    patience_seconds: float
+    max_wait_seconds: float
     overloads: int = 0
     weight: float = 1.0
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -240,7 +240,7 @@
             seconds=swap.load_seconds,
             gain=round(swap.net_gain, 1),
             waiting=sum(one.requests for one in asking),
-            patience=round(max((one.patience_seconds for one in asking), default=0.0), 2),
+            patience=round(max((one.max_wait_seconds for one in asking), default=0.0), 2),
         )
         if swap.cold:
             self._rate.begin()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
@@ -136,7 +136,7 @@
         overdue = min(MOST_OVERDUE, missing * MISSING_SECOND)
 
         def gain(load_seconds: float) -> float:
-            in_time = waiting.patience_seconds > load_seconds
+            in_time = waiting.max_wait_seconds > load_seconds
             return expected + overdue + (waiting.requests if in_time else 0)
 
         return _Wish(rule, gain)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_local_demand.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_local_demand.py
@@ -28,7 +28,7 @@
     local_demand.begin_wait("llm", UNIT, 3.0)
     for _ in range(2):
         (entry,) = local_demand.drain()
-        assert (entry.waiting, 2.5 < entry.patience_seconds <= 3.0) == (1, True)
+        assert (entry.waiting, 2.5 < entry.max_wait_seconds <= 3.0) == (1, True)
     local_demand.end_wait("llm", UNIT)
     assert local_demand.drain() == []
 
