--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -162,7 +162,7 @@
             UseEntry(upstream, unit.model, unit.adapter, requests)
             for (upstream, unit), requests in fleet.load_tracker.open_by_unit().items()
         ]
-        so_far = own_demand.so_far() if introduce else None
+        snapshot = own_demand.snapshot() if introduce else None
         outcomes = [OutcomeEntry(*counts) for counts in fleet.outcomes.drain()]
         unreachable = fleet.health.all_unreachable()
         update = InstanceUpdate(
@@ -171,7 +171,7 @@
             loads,
             uses,
             unreachable,
-            so_far,
+            snapshot,
             outcomes,
             limiter.updates(full=introduce),
             peers.desk.address,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -8,7 +8,7 @@
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.messages import (
     DemandEntry,
-    DemandSoFar,
+    DemandSnapshot,
     InstanceUpdate,
     ModelRates,
     UnitRate,
@@ -82,9 +82,9 @@
         """Take an instance's news."""
         now = time.monotonic()
         with self._lock:
-            if update.so_far is not None and update.instance not in self._introduced:
+            if update.demand_snapshot is not None and update.instance not in self._introduced:
                 self._introduced.add(update.instance)
-                self._adopt(update.so_far, now)
+                self._adopt(update.demand_snapshot, now)
             self._waiting[update.instance] = (
                 now,
                 [entry for entry in update.demand if entry.waiting],
@@ -99,7 +99,7 @@
         with self._lock:
             self._introduced.clear()
 
-    def so_far(self) -> DemandSoFar:
+    def snapshot(self) -> DemandSnapshot:
         """Return what was counted here, for an order giver that knows nothing of it."""
         now = time.monotonic()
         with self._lock:
@@ -119,7 +119,7 @@
                 for (service, unit), rate in self._rates.items()
                 if rate.now(now) > LEAST_TOLD_PER_SECOND
             ]
-        return DemandSoFar(now - first, models, units)
+        return DemandSnapshot(now - first, models, units)
 
     def waiting(self) -> list[WaitingUnit]:
         """Return what requests wait for, the least patient first."""
@@ -226,17 +226,17 @@
         first = self._first_arrival_at
         return first is not None and time.monotonic() - first > FIRST_LOOK_SECONDS
 
-    def _adopt(self, so_far: DemandSoFar, now: float) -> None:
+    def _adopt(self, snapshot: DemandSnapshot, now: float) -> None:
         """Add what an instance was asked for before this order giver heard of it.
 
         An order giver that takes over while demand moves would else see each model's
         demand begin at nothing, and give the rare ones that requests wait for the place
         of further copies of the busy one.
         """
-        first = now - so_far.seconds
+        first = now - snapshot.seconds
         known = self._first_arrival_at
         self._first_arrival_at = first if known is None else min(known, first)
-        for told in so_far.models:
+        for told in snapshot.models:
             key = (told.service, told.model)
             self._model_rates[key] = self._model_rates.get(key, _STEADY).raised(told.steady, now)
             self._recent_rates[key] = self._recent_rates.get(key, _LEAVING).raised(told.recent, now)
@@ -245,7 +245,7 @@
             )
             if told.peak:
                 self._peaks[key] = self._peaks.get(key, 0.0) + told.peak
-        for entry in so_far.units:
+        for entry in snapshot.units:
             unit = (entry.service, Unit(entry.model, entry.adapter))
             self._rates[unit] = self._rates.get(unit, _STEADY).raised(entry.steady, now)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
@@ -67,7 +67,7 @@
     steady: float
 
 
-class DemandSoFar(msgspec.Struct, array_like=True):
+class DemandSnapshot(msgspec.Struct, array_like=True):
     """What one instance has been asked for; its first request is ``seconds`` old."""
 
     seconds: float
@@ -87,7 +87,7 @@
     """From each instance to the order giver.
 
     ``unreachable`` upstreams have taken no connection of this instance lately.
-    ``so_far`` is told once to each order giver, which has heard nothing before. At its
+    ``demand_snapshot`` is told once to each order giver, which has heard nothing before. At its
     ``address`` it answers questions of others. ``leaving`` upstreams have said so in their
     answers, and the list does not yet. ``rejecting`` ones have named times before which they
     want nothing from the instance.
@@ -98,7 +98,7 @@
     loads: list[LoadEntry]
     uses: list[UseEntry]
     unreachable: list[str]
-    so_far: DemandSoFar | None = None
+    demand_snapshot: DemandSnapshot | None = None
     outcomes: list[OutcomeEntry] = []
     drawn: list[DrawnEntry] = []
     address: str = ""
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
@@ -15,7 +15,7 @@
     own = Demand()
     for _ in range(8):
         own.heard(update(a=10, b=1))
-    return own.so_far()
+    return own.snapshot()
 
 
 def introduction(told, instance="i1"):
