--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -27,12 +27,12 @@
     LoadEntry,
     StoreUpdate,
 )
-from redwingscale_daemon._internal.swaps.news_due import UPDATE_SECONDS, NewsDue
 from redwingscale_daemon._internal.swaps.order_client import OrderClient
 from redwingscale_daemon._internal.swaps.permit_issuer import PermitIssuer
 from redwingscale_daemon._internal.swaps.planner import Planner, Swap
 from redwingscale_daemon._internal.swaps.service_views import ServiceViews
 from redwingscale_daemon._internal.swaps.tasks import SwapTask
+from redwingscale_daemon._internal.swaps.update_schedule import UPDATE_SECONDS, UpdateSchedule
 from redwingscale_daemon._internal.swaps.worker_orders import GiverRight
 from redwingscale_daemon._internal.swaps.worker_pool import WorkerPool
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
@@ -101,7 +101,7 @@
         # For upstreams with a rate limit.
         self._issuer = issuer or PermitIssuer()
         self._totals = NO_TOTALS
-        self._news = NewsDue()
+        self._schedule = UpdateSchedule()
         self._gave_orders = False
         # Not for secrets: it only spreads questions.
         self._random = random.Random()
@@ -116,7 +116,7 @@
             self._wake.set()
         if self._instances.heard(update):
             # It knows nothing of what is held.
-            self._news.newcomer()
+            self._schedule.request_full()
             self._wake.set()
         if any(entry.waiting for entry in update.demand):
             self._wake.set()
@@ -174,7 +174,7 @@
         """Forget what only the order giver knows; another one may change it."""
         if self._gave_orders:
             self._gave_orders = False
-            self._news = NewsDue()
+            self._schedule = UpdateSchedule()
             self._changes = ListChanges()
             self._demand.forget_introductions()
             log_event("giver_ends")
@@ -252,14 +252,14 @@
 
     def _tell(self, fence: int) -> LeaderUpdate | None:
         """Return the news, None where they would tell nothing and none are due."""
-        regular = self._news.regular_due()
-        residency, residency_complete = self._news.held(
+        regular = self._schedule.periodic_due()
+        residency, residency_complete = self._schedule.residency(
             self._workers.resident_by_id(), regular=regular, instances=len(self._instances)
         )
         ready_in = self._workers.ready_in_by_model()
         store = self._read(self._changes)
         limits = self._issuer.issue(all_limits=regular)
-        if not self._news.differ(ready_in.keys(), store) and not regular and not limits:
+        if not self._schedule.has_changes(ready_in.keys(), store) and not regular and not limits:
             return None
         loads = [LoadEntry(key, *load) for key, load in self._totals.loads.items()]
         return LeaderUpdate(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/news_due.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/update_schedule.py
@@ -21,7 +21,7 @@
 _Apart = tuple[frozenset[str], list[Upstream], list[str], int]
 
 
-class NewsDue:
+class UpdateSchedule:
     """Remembers what was told, so that news between the regular ones hold changes only.
 
     What 45 workers hold takes 3 KB and changes some thirty times a second, mostly by
@@ -38,13 +38,13 @@
         self._apart: _Apart | None = None
         self._fresh_change = False
 
-    def newcomer(self) -> None:
+    def request_full(self) -> None:
         """Note an instance that knows nothing yet: all that is held is told next."""
         self._newcomer = True
 
-    def held(
+    def residency(
         self,
-        held_by_upstream: Mapping[str, AdaptersByModel | None],
+        resident_by_upstream: Mapping[str, AdaptersByModel | None],
         *,
         regular: bool,
         instances: int = 0,
@@ -55,7 +55,7 @@
         ``instances`` hear them.
         """
         now = time.monotonic()
-        self._note_changes(held_by_upstream, now)
+        self._note_changes(resident_by_upstream, now)
         rested = now - self._all_held_at >= instances * ALL_HELD_SECONDS_EACH
         if (self._newcomer and rested) or (regular and now - self._all_held_at > ALL_HELD_SECONDS):
             self._fresh_change = self._fresh_change or self._newcomer
@@ -68,7 +68,7 @@
         ]
         return recent, False
 
-    def differ(self, loading: Iterable[str], store: StoreUpdate) -> bool:
+    def has_changes(self, loading: Iterable[str], store: StoreUpdate) -> bool:
         """Return whether the news tell something that no earlier ones have told."""
         told = store.upstreams
         apart = (frozenset(loading), told.changed, told.gone, store.configuration)
@@ -76,7 +76,7 @@
         self._apart, self._fresh_change = apart, False
         return changed
 
-    def regular_due(self) -> bool:
+    def periodic_due(self) -> bool:
         """Return whether news are due without a change; they hold the loads then."""
         now = time.monotonic()
         due = now - self._regular_at >= UPDATE_SECONDS
@@ -85,12 +85,14 @@
         return due
 
     def _note_changes(
-        self, held_by_upstream: Mapping[str, AdaptersByModel | None], now: float
+        self, resident_by_upstream: Mapping[str, AdaptersByModel | None], now: float
     ) -> None:
         entries = {
-            key: ResidencyEntry(key, {name: sorted(adapters) for name, adapters in held.items()})
-            for key, held in held_by_upstream.items()
-            if held is not None
+            key: ResidencyEntry(
+                key, {name: sorted(adapters) for name, adapters in resident.items()}
+            )
+            for key, resident in resident_by_upstream.items()
+            if resident is not None
         }
         changed = [key for key, entry in entries.items() if self._entries.get(key) != entry]
         if self._entries.keys() - entries.keys():
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
@@ -20,8 +20,8 @@
     ResidencyEntry,
     StoreUpdate,
 )
-from redwingscale_daemon._internal.swaps.news_due import NewsDue
 from redwingscale_daemon._internal.swaps.order_giver import OrderGiver
+from redwingscale_daemon._internal.swaps.update_schedule import UpdateSchedule
 from redwingscale_daemon._internal.swaps.worker_orders import GiverRight
 
 from .conftest import SERVICE, upstream
@@ -119,29 +119,29 @@
     # whole to sixty-nine instances, thirty times a second, they filled the link.
     real, offset = time.monotonic, [0.0]
     monkeypatch.setattr(time, "monotonic", lambda: real() + offset[0])
-    due = NewsDue()
+    schedule = UpdateSchedule()
     held = {f"u{n}": {"a": frozenset()} for n in range(45)}
-    assert len(due.held(held, regular=True)[0]) == 45
+    assert len(schedule.residency(held, regular=True)[0]) == 45
     offset[0] += 1.1
-    assert due.held(held, regular=True) == ([], False)
+    assert schedule.residency(held, regular=True) == ([], False)
     held["u7"] = {"a": frozenset({"x"})}
     for _ in range(2):
-        told = due.held(held, regular=False)
+        told = schedule.residency(held, regular=False)
         assert told == ([ResidencyEntry("u7", {"a": ["x"]})], False)
         offset[0] += 0.4
     offset[0] += 0.5
     # News that may not be sent must not count as having told all.
-    assert not due.held(held, regular=False)[1]
-    entries, residency_complete = due.held(held, regular=True)
+    assert not schedule.residency(held, regular=False)[1]
+    entries, residency_complete = schedule.residency(held, regular=True)
     assert (len(entries), residency_complete) == (45, True)
 
 
 def test_holdings_that_are_unknown_again_are_told_by_telling_all():
     # A worker's order got no answer: what it holds is unknown, and the others must
     # not go on with what was told before.
-    due = NewsDue()
-    due.held({"u0": {"a": frozenset()}, "u1": {"b": frozenset()}}, regular=True)
-    told = due.held({"u0": {"a": frozenset()}, "u1": None}, regular=False)
+    schedule = UpdateSchedule()
+    schedule.residency({"u0": {"a": frozenset()}, "u1": {"b": frozenset()}}, regular=True)
+    told = schedule.residency({"u0": {"a": frozenset()}, "u1": None}, regular=False)
     assert told == ([ResidencyEntry("u0", {"a": []})], True)
 
 
@@ -162,15 +162,17 @@
     # the next one, and for ten seconds nobody gave orders.
     real, offset = time.monotonic, [0.0]
     monkeypatch.setattr(time, "monotonic", lambda: real() + offset[0])
-    due, instances = NewsDue(), 195
+    schedule, instances = UpdateSchedule(), 195
     adapters = [f"a{n}" for n in range(3)]
     held = {f"i-{n:010x}": {f"model{n}-{m}": adapters for m in range(3)} for n in range(78)}
     told = 0
     for step in range(40):
         offset[0] += 0.125
-        due.newcomer()
+        schedule.request_full()
         unknown = f"i-{step:010x}"
-        entries, _ = due.held(held | {unknown: None}, regular=step % 2 == 0, instances=instances)
+        entries, _ = schedule.residency(
+            held | {unknown: None}, regular=step % 2 == 0, instances=instances
+        )
         told += len(msgspec.msgpack.encode(entries)) * instances
     seconds = 40 * 0.125
     # A third of a link of 100 Mbit/s: the store's calls and callers' requests need the rest.
@@ -178,12 +180,12 @@
 
 
 def test_newcomer_among_few_is_told_at_once():
-    due = NewsDue()
+    schedule = UpdateSchedule()
     held = {"u0": {"a": frozenset()}}
-    due.held(held, regular=True, instances=6)
+    schedule.residency(held, regular=True, instances=6)
     time.sleep(6 * 0.005)
-    due.newcomer()
-    assert due.held(held, regular=False, instances=6)[1]
+    schedule.request_full()
+    assert schedule.residency(held, regular=False, instances=6)[1]
 
 
 def test_first_list_is_told_in_pieces_and_once():
