--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_link.py
@@ -11,7 +11,7 @@
 
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord
 from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, LeaderUpdate
-from redwingscale_daemon._internal.swaps.news_delay import NewsDelay
+from redwingscale_daemon._internal.swaps.update_delay import UpdateDelay
 
 UPDATE_SECONDS = 0.25
 _RECEIVE_MS = 250
@@ -57,7 +57,7 @@
         self._record: LeaderRecord | None = None
         self._sockets: _Sockets | None = None
         self._heard_at = 0.0
-        self._delay = NewsDelay()
+        self._delay = UpdateDelay()
         self._update_late = False
         # The link over which, and whether this instance itself as the order giver, has
         # been told what was asked for before its time.
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/news_delay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/update_delay.py
@@ -6,7 +6,7 @@
 MOST_DRIFT = 2e-4
 
 
-class NewsDelay:
+class UpdateDelay:
     """Compares each message's way with the shortest one so far.
 
     No clock is shared: what two clocks differ by is in every message alike, so that what
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_late_updates.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_late_updates.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.swaps.giver_link import GiverLink
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
 from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, LeaderUpdate, StoreUpdate
-from redwingscale_daemon._internal.swaps.news_delay import NewsDelay
+from redwingscale_daemon._internal.swaps.update_delay import UpdateDelay
 from redwingscale_standins.soak.faulty_link import FaultyLink
 
 from .conftest import until
@@ -86,7 +86,7 @@
 
 def test_difference_of_two_clocks_is_no_delay(clock):
     # Guards against instances that trust no news as the giver's clock shows another time.
-    delay = NewsDelay()
+    delay = UpdateDelay()
     assert delay.seconds("a", clock[0] - 500.0) == 0.0
     assert delay.seconds("a", clock[0] - 501.5) == pytest.approx(1.5)
     assert delay.seconds("b", clock[0] + 500.0) == 0.0
@@ -94,7 +94,7 @@
 
 def test_clocks_that_run_at_different_rates_are_no_delay(clock):
     # Guards against news that seem late after days of uptime.
-    delay = NewsDelay()
+    delay = UpdateDelay()
     late = []
     for second in range(0, 100_000, 100):
         clock[0] = 1000.0 + second
@@ -104,7 +104,7 @@
 
 def test_news_that_wait_behind_each_other_stay_late(clock):
     # Guards against a full link whose delay is taken for the normal one.
-    delay = NewsDelay()
+    delay = UpdateDelay()
     delay.seconds("a", clock[0])
     for _ in range(1000):
         clock[0] += 0.25
