--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -18,10 +18,10 @@
 from redwingscale_daemon._internal.store.backoff import Backoff
 from redwingscale_daemon._internal.store.rows import RowStore
 from redwingscale_daemon._internal.swaps.demand import Demand
-from redwingscale_daemon._internal.swaps.giver_hub import GiverHub
 from redwingscale_daemon._internal.swaps.giver_link import GiverLink
 from redwingscale_daemon._internal.swaps.instance_count import InstanceCount
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
+from redwingscale_daemon._internal.swaps.leader_server import LeaderServer
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling
 from redwingscale_daemon._internal.swaps.local_demand import LocalDemand
@@ -110,8 +110,8 @@
         lambda: LeaderRecord(
             me,
             settings.host,
-            hub.news_port,
-            hub.needs_port,
+            server.news_port,
+            server.needs_port,
             start,
             desk_port=peers.desk.port,
             instances=instances(),
@@ -191,7 +191,7 @@
         settings.bounds.order_quiet,
         lambda upstream: not fleet.retry_times.remaining(upstream) and issuer.draw(upstream),
     )
-    hub = GiverHub(settings.host, news_port, needs_port, lambda update: giver.heard(update))
+    server = LeaderServer(settings.host, news_port, needs_port, lambda update: giver.heard(update))
     giver = OrderGiver(
         right,
         routes,
@@ -203,7 +203,7 @@
                 upstream, backpressure, "order giver"
             ),
         ),
-        hub,
+        server,
         LoadCeiling(0.0, bounds.load_window),
         read_for_all,
         settings.machine.link_mbps,
@@ -238,7 +238,7 @@
     return Swaps(
         local_demand=local_demand,
         tasks=(
-            hub,
+            server,
             *peers.tasks,
             Periodic("giver-lease", LEASE_STEP_SECONDS, follow_lease),
             link,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_hub.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_server.py
@@ -17,7 +17,7 @@
 OnUpdate = Callable[[InstanceUpdate], None]
 
 
-class GiverHub:
+class LeaderServer:
     """Listens on two ports: one takes the instances' news, one tells the giver's.
 
     Every instance listens, so that one that becomes the order giver is reached
@@ -61,7 +61,7 @@
             log_event("giver_news_failed", level="WARNING", error=error)
         return len(message)
 
-    def heard(self) -> int:
+    def instances_seen(self) -> int:
         """Return how many other instances were heard of lately."""
         since = time.monotonic() - HEARD_SECONDS
         return sum(1 for heard_at in list(self._heard_at.values()) if heard_at > since)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -17,8 +17,8 @@
 from redwingscale_daemon._internal.swaps.adapter_orders import AdapterOrders
 from redwingscale_daemon._internal.swaps.demand import Demand, WaitingUnit
 from redwingscale_daemon._internal.swaps.failing_upstreams import FailingUpstreams
-from redwingscale_daemon._internal.swaps.giver_hub import GiverHub
 from redwingscale_daemon._internal.swaps.instance_totals import NO_TOTALS, InstanceTotals
+from redwingscale_daemon._internal.swaps.leader_server import LeaderServer
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling, LoadRate
 from redwingscale_daemon._internal.swaps.messages import (
@@ -69,7 +69,7 @@
         routes: CurrentRoutes,
         directory: UpstreamDirectory,
         client: OrderClient,
-        hub: GiverHub,
+        server: LeaderServer,
         window: LoadCeiling,
         read: Callable[[ListChanges], StoreUpdate],
         link_mbps: float = math.inf,
@@ -81,7 +81,7 @@
         self._right = right
         self._routes = routes
         self._directory = directory
-        self._hub = hub
+        self._server = server
         self._window = window
         self._link_mbps = link_mbps
         # How many instances there were, as far as this one has been told.
@@ -141,7 +141,7 @@
         self._follow_list()
         self._plan()
         update = self._tell(fence)
-        message_bytes = 0 if update is None else self._hub.publish(update)
+        message_bytes = 0 if update is None else self._server.publish(update)
         took = time.monotonic() - started
         least = LEAST_REST_SECONDS + len(self._instances) * REST_SECONDS_EACH
         rest = min(UPDATE_SECONDS, max(least, took * REST_FACTOR))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_desk.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_desk.py
@@ -12,8 +12,8 @@
 from redwingscale_daemon._internal.fleet.rate_limit_messages import RateLimitEntry
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.table_record import encode_table
-from redwingscale_daemon._internal.swaps.giver_hub import open_port
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
+from redwingscale_daemon._internal.swaps.leader_server import open_port
 
 _RECEIVE_MS = 1000
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_late_updates.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_late_updates.py
@@ -6,9 +6,9 @@
 import pytest
 from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.rate_limit_messages import PermitEntry
-from redwingscale_daemon._internal.swaps.giver_hub import GiverHub
 from redwingscale_daemon._internal.swaps.giver_link import GiverLink
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
+from redwingscale_daemon._internal.swaps.leader_server import LeaderServer
 from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, LeaderUpdate, StoreUpdate
 from redwingscale_daemon._internal.swaps.update_delay import UpdateDelay
 from redwingscale_standins.soak.faulty_link import FaultyLink
@@ -30,32 +30,32 @@
 
 
 @pytest.fixture
-def hub():
-    made = GiverHub("127.0.0.1", 0, 0, lambda update: None)
+def server():
+    made = LeaderServer("127.0.0.1", 0, 0, lambda update: None)
     made.start()
     yield made
     made.stop()
 
 
 @pytest.fixture
-def path(hub):
-    made = FaultyLink(hub.news_port)
+def path(server):
+    made = FaultyLink(server.news_port)
     yield made
     made.close()
 
 
 @pytest.fixture
-def heard(hub, path):
+def heard(server, path):
     """News as an instance takes them over ``path``."""
     told = []
-    lease = Lease(LeaderRecord("giver", "127.0.0.1", path.port, hub.needs_port, "start"))
+    lease = Lease(LeaderRecord("giver", "127.0.0.1", path.port, server.needs_port, "start"))
     link = GiverLink(
         lease, "one", lambda _: InstanceUpdate("one", [], [], [], []), told.append, lambda _: None
     )
     link.start()
 
     def linked():
-        hub.publish(UPDATE)
+        server.publish(UPDATE)
         return bool(told)
 
     assert until(linked)
@@ -63,12 +63,12 @@
     link.stop()
 
 
-def test_news_that_were_held_up_on_their_way_are_as_old_as_that(hub, path, heard):
+def test_news_that_were_held_up_on_their_way_are_as_old_as_that(server, path, heard):
     # Guards against old news that are taken for new: a change that they lack is missed.
     path.hold_from = True
     time.sleep(UNSEEN_SECONDS)
     before = len(heard)
-    hub.publish(UPDATE)
+    server.publish(UPDATE)
     time.sleep(HELD_SECONDS)
     path.heal()
     assert until(lambda: len(heard) > before)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
@@ -29,7 +29,7 @@
 NOTHING_READ = StoreUpdate(1, ListUpdate([], [], 0.0, 0, 0), 1, 0.0)
 
 
-class Hub:
+class Server:
     def __init__(self):
         self.told = []
 
@@ -50,7 +50,7 @@
     def read(changes):
         return StoreUpdate(1, changes.make_update(fleet.directory, 0.1), 1, 0.1)
 
-    return OrderGiver(right, routes, fleet.directory, worker, Hub(), ceiling, read, link_mbps)
+    return OrderGiver(right, routes, fleet.directory, worker, Server(), ceiling, read, link_mbps)
 
 
 @pytest.fixture
