--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -18,8 +18,8 @@
 from redwingscale_daemon._internal.store.backoff import Backoff
 from redwingscale_daemon._internal.store.rows import RowStore
 from redwingscale_daemon._internal.swaps.demand import Demand
-from redwingscale_daemon._internal.swaps.giver_link import GiverLink
 from redwingscale_daemon._internal.swaps.instance_count import InstanceCount
+from redwingscale_daemon._internal.swaps.leader_client import LeaderClient
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
 from redwingscale_daemon._internal.swaps.leader_server import LeaderServer
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
@@ -214,9 +214,9 @@
     )
     fleet.directory.on_gone(giver.forget)
     peers = build_peers(settings, routes, reads, route_versions, lease, fleet)
-    link = GiverLink(lease, me, make_update, on_leader_update, giver.heard)
-    local_demand.on_new_wait(link.wake)
-    fleet.rates.on_update(link.wake)
+    client = LeaderClient(lease, me, make_update, on_leader_update, giver.heard)
+    local_demand.on_new_wait(client.wake)
+    fleet.rates.on_update(client.wake)
 
     def follow_lease() -> None:
         # The giver's news tell that it is there: its row is read only without them.
@@ -241,7 +241,7 @@
             server,
             *peers.tasks,
             Periodic("giver-lease", LEASE_STEP_SECONDS, follow_lease),
-            link,
+            client,
             Periodic("order-giver", 0.0, give),
         ),
         release=lease.release,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/giver_link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_client.py
@@ -30,7 +30,7 @@
     push: pynng.Push0
 
 
-class GiverLink:
+class LeaderClient:
     """Tells the order giver what is asked for here, and hears what is where.
 
     A link can go silent without being closed: it is dropped, and dialled anew,
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_late_updates.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_late_updates.py
@@ -6,7 +6,7 @@
 import pytest
 from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.rate_limit_messages import PermitEntry
-from redwingscale_daemon._internal.swaps.giver_link import GiverLink
+from redwingscale_daemon._internal.swaps.leader_client import LeaderClient
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
 from redwingscale_daemon._internal.swaps.leader_server import LeaderServer
 from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, LeaderUpdate, StoreUpdate
@@ -49,10 +49,10 @@
     """News as an instance takes them over ``path``."""
     told = []
     lease = Lease(LeaderRecord("giver", "127.0.0.1", path.port, server.needs_port, "start"))
-    link = GiverLink(
+    client = LeaderClient(
         lease, "one", lambda _: InstanceUpdate("one", [], [], [], []), told.append, lambda _: None
     )
-    link.start()
+    client.start()
 
     def linked():
         server.publish(UPDATE)
@@ -60,7 +60,7 @@
 
     assert until(linked)
     yield told
-    link.stop()
+    client.stop()
 
 
 def test_news_that_were_held_up_on_their_way_are_as_old_as_that(server, path, heard):
