--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -10,14 +10,14 @@
 from redwingscale_daemon._internal.routes.route_version_tracker import RouteVersionTracker
 from redwingscale_daemon._internal.settings.ingress_settings import IngressSettings
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease
-from redwingscale_daemon._internal.swaps.peer_desk import KnownLease, PeerDesk
 from redwingscale_daemon._internal.swaps.peer_questions import PeerQuestions
+from redwingscale_daemon._internal.swaps.peer_server import LeaseState, PeerServer
 from redwingscale_daemon._internal.swaps.rate_limit_gossip import RateLimitGossip
 from redwingscale_daemon._internal.utils.lasting import Lasting
 from redwingscale_daemon._internal.utils.periodic import Periodic
 
 # The first two of an instance's ports for others are those of the order giver's news.
-DESK_PORT = 2
+PEER_SERVER_PORT = 2
 # An instance that the store turns away asks its peers this often.
 QUESTION_SECONDS = 0.4
 # A version that was told is read from the store first.
@@ -29,7 +29,7 @@
 class Peers(NamedTuple):
     """``fetch_announced`` brings a configuration that the order giver has told."""
 
-    desk: PeerDesk
+    server: PeerServer
     questions: PeerQuestions
     tasks: tuple[Task, ...]
     fetch_announced: Callable[[], bool]
@@ -45,12 +45,12 @@
 ) -> Peers:
     """Return the parts, not started."""
     first_port = settings.peer_ports[0]
-    desk = PeerDesk(
+    peer_server = PeerServer(
         settings.host,
-        first_port + DESK_PORT if first_port else 0,
+        first_port + PEER_SERVER_PORT if first_port else 0,
         routes,
         lambda: min(reads.configuration.age, route_versions.age),
-        lambda: KnownLease(lease.row_version, lease.record),
+        lambda: LeaseState(lease.row_version, lease.record),
         fleet.rates.receive_from_peer,
     )
     behind = Lasting(BEHIND_SECONDS)
@@ -69,7 +69,7 @@
             return False
         return questions.fetch(f"{record.host}:{record.desk_port}", route_versions.version)
 
-    questions = PeerQuestions(routes, untold, lease.adopt_record, lambda: desk.address)
+    questions = PeerQuestions(routes, untold, lease.adopt_record, lambda: peer_server.address)
     asking = Periodic("peer-questions", QUESTION_SECONDS, questions.step)
     gossip = RateLimitGossip(
         fleet.rates,
@@ -77,4 +77,4 @@
         lambda: not lease.is_leader and fleet.residency.age > GIVER_SILENT_SECONDS,
         questions.tell,
     )
-    return Peers(desk, questions, (desk, asking, gossip), fetch_announced)
+    return Peers(peer_server, questions, (peer_server, asking, gossip), fetch_announced)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -113,7 +113,7 @@
             server.news_port,
             server.needs_port,
             start,
-            desk_port=peers.desk.port,
+            desk_port=peers.server.port,
             instances=instances(),
         ),
         LeaseTiming(
@@ -174,7 +174,7 @@
             snapshot,
             outcomes,
             limiter.updates(full=introduce),
-            peers.desk.address,
+            peers.server.address,
             fleet.rates.updates(full=introduce),
             fleet.directory.leaving_unlisted(),
             fleet.retry_times.pending(),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_questions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_questions.py
@@ -13,7 +13,7 @@
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.table_record import decode_table
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
-from redwingscale_daemon._internal.swaps.peer_desk import PeerAnswer, PeerQuestion
+from redwingscale_daemon._internal.swaps.peer_server import PeerRequest, PeerResponse
 
 MOST_PEERS = 32
 # A peer that is turned away as well is followed by another one.
@@ -57,9 +57,9 @@
 
     def tell(self, address: str, rates: list[RateLimitEntry]) -> None:
         """Tell one peer of rates that have changed, and take its answer."""
-        answer = self._ask(address, rates)
-        if answer is not None:
-            self._take(address, answer)
+        response = self._ask(address, rates)
+        if response is not None:
+            self._take(address, response)
 
     def step(self) -> None:
         """Ask until a peer answers that knows what is in force now, if that is needed."""
@@ -67,49 +67,49 @@
             return
         known = self.known()
         for address in self._random.sample(known, min(MOST_ASKED, len(known))):
-            answer = self._ask(address)
-            if answer is None:
+            response = self._ask(address)
+            if response is None:
                 continue
-            self._take(address, answer)
-            if answer.age < CURRENT_SECONDS:
+            self._take(address, response)
+            if response.age < CURRENT_SECONDS:
                 return
 
     def fetch(self, address: str, version: int) -> bool:
         """Ask one peer; return whether a configuration of ``version`` or later is in force."""
-        answer = self._ask(address)
-        if answer is not None:
-            self._take(address, answer)
+        response = self._ask(address)
+        if response is not None:
+            self._take(address, response)
         table = self._routes.get()
         return table is not None and table.version >= version
 
-    def _ask(self, address: str, rates: Sequence[RateLimitEntry] = ()) -> PeerAnswer | None:
+    def _ask(self, address: str, rates: Sequence[RateLimitEntry] = ()) -> PeerResponse | None:
         table = self._routes.get()
-        question = PeerQuestion(table.version if table else 0, list(rates))
+        request = PeerRequest(table.version if table else 0, list(rates))
         # Without a resend time it would ask again by itself.
         options = {"send_timeout": ANSWER_MS, "recv_timeout": ANSWER_MS, "resend_time": -1}
         try:
             with pynng.Req0(**options) as link:
                 link.dial(f"tcp://{address}", block=False)
-                link.send(msgspec.msgpack.encode(question))
-                return msgspec.msgpack.decode(link.recv(), type=PeerAnswer)
+                link.send(msgspec.msgpack.encode(request))
+                return msgspec.msgpack.decode(link.recv(), type=PeerResponse)
         except (pynng.NNGException, msgspec.DecodeError) as error:
             log_event("peer_silent", peer=address, error=repr(error))
             return None
 
-    def _take(self, address: str, answer: PeerAnswer) -> None:
+    def _take(self, address: str, response: PeerResponse) -> None:
         log_event(
             "peer_answered",
             peer=address,
-            configuration=answer.configuration,
-            age=round(answer.age, 3),
-            giver=answer.giver.instance if answer.giver else None,
+            configuration=response.configuration,
+            age=round(response.age, 3),
+            giver=response.leader.instance if response.leader else None,
         )
-        if answer.giver is not None:
-            self._learn_giver(answer.lease_version, answer.giver)
-        if not answer.table:
+        if response.leader is not None:
+            self._learn_giver(response.lease_version, response.leader)
+        if not response.table:
             return
         try:
-            data = zlib.decompressobj().decompress(answer.table, TABLE_BYTES)
+            data = zlib.decompressobj().decompress(response.table, TABLE_BYTES)
             self._routes.offer(decode_table(data))
         except (zlib.error, msgspec.DecodeError) as error:
             log_event("peer_table_invalid", level="WARNING", peer=address, error=repr(error))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_desk.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_server.py
@@ -18,17 +18,17 @@
 _RECEIVE_MS = 1000
 
 
-class PeerQuestion(msgspec.Struct, array_like=True):
+class PeerRequest(msgspec.Struct, array_like=True):
     """What an instance knows: the version of its configuration, rates that have changed."""
 
     configuration: int
     rates: list[RateLimitEntry] = []
 
 
-class PeerAnswer(msgspec.Struct, array_like=True):
+class PeerResponse(msgspec.Struct, array_like=True):
     """``table`` is the configuration where it is newer than the asker's, else empty.
 
-    ``lease_version`` and ``giver`` are the order giver's row as last read or told;
+    ``lease_version`` and ``leader`` are the order giver's row as last read or told;
     ``age`` seconds ago the configuration was known to be in force.
     """
 
@@ -36,17 +36,17 @@
     table: bytes
     age: float
     lease_version: int
-    giver: LeaderRecord | None
+    leader: LeaderRecord | None
 
 
-class KnownLease(NamedTuple):
+class LeaseState(NamedTuple):
     """The order giver's row as an instance knows it."""
 
     row_version: int
     record: LeaderRecord | None
 
 
-class PeerDesk:
+class PeerServer:
     """Listens on a port of its own; each question has one answer."""
 
     def __init__(
@@ -55,7 +55,7 @@
         port: int,
         routes: CurrentRoutes,
         configuration_age: Callable[[], float],
-        lease: Callable[[], KnownLease],
+        lease: Callable[[], LeaseState],
         take_rates: Callable[[list[RateLimitEntry]], None] = lambda _: None,
     ) -> None:
         self._socket = pynng.Rep0(recv_timeout=_RECEIVE_MS, send_timeout=_RECEIVE_MS)
@@ -88,9 +88,9 @@
     def _run(self) -> None:
         while not self._stopped:
             try:
-                question = msgspec.msgpack.decode(self._socket.recv(), type=PeerQuestion)
-                self._take_rates(question.rates)
-                self._socket.send(msgspec.msgpack.encode(self._answer(question)))
+                request = msgspec.msgpack.decode(self._socket.recv(), type=PeerRequest)
+                self._take_rates(request.rates)
+                self._socket.send(msgspec.msgpack.encode(self._answer(request)))
             except pynng.Timeout:
                 continue
             except pynng.Closed:
@@ -98,12 +98,12 @@
             except (msgspec.DecodeError, pynng.NNGException) as error:
                 log_event("peer_question_failed", level="WARNING", error=repr(error))
 
-    def _answer(self, question: PeerQuestion) -> PeerAnswer:
+    def _answer(self, request: PeerRequest) -> PeerResponse:
         table = self._routes.get()
         lease = self._lease()
         if table is None:
-            return PeerAnswer(0, b"", float("inf"), lease.row_version, lease.record)
+            return PeerResponse(0, b"", float("inf"), lease.row_version, lease.record)
         if table.version != self._packed[0]:
             self._packed = (table.version, zlib.compress(encode_table(table)))
-        newer = self._packed[1] if table.version > question.configuration else b""
-        return PeerAnswer(table.version, newer, self._age(), lease.row_version, lease.record)
+        newer = self._packed[1] if table.version > request.configuration else b""
+        return PeerResponse(table.version, newer, self._age(), lease.row_version, lease.record)
