--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.routes.route_version_tracker import RouteVersionTracker
 from redwingscale_daemon._internal.settings.ingress_settings import IngressSettings
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease
-from redwingscale_daemon._internal.swaps.peer_questions import PeerQuestions
+from redwingscale_daemon._internal.swaps.peer_client import PeerClient
 from redwingscale_daemon._internal.swaps.peer_server import LeaseState, PeerServer
 from redwingscale_daemon._internal.swaps.rate_limit_gossip import RateLimitGossip
 from redwingscale_daemon._internal.utils.lasting import Lasting
@@ -30,7 +30,7 @@
     """``fetch_announced`` brings a configuration that the order giver has told."""
 
     server: PeerServer
-    questions: PeerQuestions
+    client: PeerClient
     tasks: tuple[Task, ...]
     fetch_announced: Callable[[], bool]
 
@@ -67,14 +67,14 @@
         record = lease.record
         if record is None or not record.desk_port:
             return False
-        return questions.fetch(f"{record.host}:{record.desk_port}", route_versions.version)
+        return peer_client.fetch(f"{record.host}:{record.desk_port}", route_versions.version)
 
-    questions = PeerQuestions(routes, untold, lease.adopt_record, lambda: peer_server.address)
-    asking = Periodic("peer-questions", QUESTION_SECONDS, questions.step)
+    peer_client = PeerClient(routes, untold, lease.adopt_record, lambda: peer_server.address)
+    asking = Periodic("peer-questions", QUESTION_SECONDS, peer_client.step)
     gossip = RateLimitGossip(
         fleet.rates,
-        questions.known,
+        peer_client.addresses,
         lambda: not lease.is_leader and fleet.residency.age > GIVER_SILENT_SECONDS,
-        questions.tell,
+        peer_client.push,
     )
-    return Peers(peer_server, questions, (peer_server, asking, gossip), fetch_announced)
+    return Peers(peer_server, peer_client, (peer_server, asking, gossip), fetch_announced)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -139,7 +139,7 @@
         _take_update(update, told_loads, fleet)
         if update.grants is not None:
             limiter.receive(update.grants)
-        peers.questions.hear(update.peers)
+        peers.client.remember(update.peers)
         if not lease.is_leader:
             lease.note_renewal(update.store.lease_version)
             list_news.take(update.fence, update.store.upstreams)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_questions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_client.py
@@ -24,26 +24,26 @@
 TABLE_BYTES = 32 << 20
 
 
-class PeerQuestions:
+class PeerClient:
     """Remembers peers that the order giver names, and asks some of them in turn."""
 
     def __init__(
         self,
         routes: CurrentRoutes,
         needed: Callable[[], bool],
-        learn_giver: Callable[[int, LeaderRecord], None],
+        learn_leader: Callable[[int, LeaderRecord], None],
         own_address: Callable[[], str],
     ) -> None:
         self._routes = routes
         self._needed = needed
-        self._learn_giver = learn_giver
+        self._learn_leader = learn_leader
         self._own_address = own_address
         # By address, when last named.
         self._named_at: dict[str, float] = {}
         # Not for secrets: it only spreads questions.
         self._random = random.Random()
 
-    def hear(self, peers: Iterable[str]) -> None:
+    def remember(self, peers: Iterable[str]) -> None:
         """Remember ``peers``, the newest ones."""
         now = time.monotonic()
         known = self._named_at | dict.fromkeys(peers, now)
@@ -51,11 +51,11 @@
         newest = sorted(known, key=known.__getitem__, reverse=True)[:MOST_PEERS]
         self._named_at = {address: known[address] for address in newest}
 
-    def known(self) -> list[str]:
+    def addresses(self) -> list[str]:
         """Return the addresses of the peers that are remembered."""
         return list(self._named_at)
 
-    def tell(self, address: str, rates: list[RateLimitEntry]) -> None:
+    def push(self, address: str, rates: list[RateLimitEntry]) -> None:
         """Tell one peer of rates that have changed, and take its answer."""
         response = self._ask(address, rates)
         if response is not None:
@@ -65,7 +65,7 @@
         """Ask until a peer answers that knows what is in force now, if that is needed."""
         if not self._needed():
             return
-        known = self.known()
+        known = self.addresses()
         for address in self._random.sample(known, min(MOST_ASKED, len(known))):
             response = self._ask(address)
             if response is None:
@@ -105,7 +105,7 @@
             giver=response.leader.instance if response.leader else None,
         )
         if response.leader is not None:
-            self._learn_giver(response.lease_version, response.leader)
+            self._learn_leader(response.lease_version, response.leader)
         if not response.table:
             return
         try:
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.table_record import decode_table, encode_table
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
-from redwingscale_daemon._internal.swaps.peer_questions import PeerQuestions
+from redwingscale_daemon._internal.swaps.peer_client import PeerClient
 from redwingscale_daemon._internal.swaps.peer_server import LeaseState, PeerServer
 from redwingscale_daemon._internal.swaps.rate_limit_gossip import RateLimitGossip
 from redwingscale_daemon._internal.workspaces.keys import key_digest
@@ -59,7 +59,7 @@
         self.routes = CurrentRoutes()
         self.needed = True
         self.givers = []
-        self.questions = PeerQuestions(
+        self.client = PeerClient(
             self.routes,
             lambda: self.needed,
             lambda version, record: self.givers.append((version, record)),
@@ -97,8 +97,8 @@
 def test_newer_configuration_comes_from_a_peer(start, asker):
     """Guards against a withdrawn key that still works where the store turns an instance away."""
     asker.routes.offer(table(1, KEY))
-    asker.questions.hear([start(table(2)).server.address])
-    asker.questions.step()
+    asker.client.remember([start(table(2)).server.address])
+    asker.client.step()
     assert asker.version == 2
     assert asker.routes.get().keys.find(key_digest(KEY)) is None
     assert asker.givers == [(7, LEADER)]
@@ -106,8 +106,8 @@
 
 def test_older_configuration_of_a_peer_is_not_taken(start, asker):
     asker.routes.offer(table(5))
-    asker.questions.hear([start(table(4, KEY)).server.address])
-    asker.questions.step()
+    asker.client.remember([start(table(4, KEY)).server.address])
+    asker.client.step()
     assert asker.version == 5
 
 
@@ -115,8 +115,8 @@
     """Guards against an answer of old that ends the questions."""
     peers = [start(table(1, KEY), age=9.0), start(table(1, KEY), age=9.0), start(table(2))]
     asker.routes.offer(table(1, KEY))
-    asker.questions.hear([peer.server.address for peer in peers])
-    asker.questions.step()
+    asker.client.remember([peer.server.address for peer in peers])
+    asker.client.step()
     assert asker.version == 2
 
 
@@ -125,23 +125,23 @@
         listener = odd.listen("tcp://127.0.0.1:0")
         port = int(str(listener.local_address).rsplit(":", 1)[1])
         addresses = [f"127.0.0.1:{silent.getsockname()[1]}", f"127.0.0.1:{port}"]
-        asker.questions.hear([*addresses, start(table(2)).server.address])
-        asker.questions.step()
+        asker.client.remember([*addresses, start(table(2)).server.address])
+        asker.client.step()
     assert asker.version == 2
 
 
 def test_nobody_is_asked_without_need(start, asker):
     asker.needed = False
-    asker.questions.hear([start(table(2)).server.address])
-    asker.questions.step()
+    asker.client.remember([start(table(2)).server.address])
+    asker.client.step()
     assert asker.version is None
 
 
 def test_no_table_is_sent_to_an_instance_that_has_it(start, asker):
     peer = start(table(2))
     asker.routes.offer(table(2))
-    asker.questions.hear([peer.server.address])
-    asker.questions.step()
+    asker.client.remember([peer.server.address])
+    asker.client.step()
     assert peer.server._packed[0] == 2
     assert asker.givers == [(7, LEADER)]
 
@@ -165,9 +165,9 @@
         "127.0.0.1", 0, routes, lambda: 0.1, lambda: LeaseState(7, None), there.receive_from_peer
     )
     server.start()
-    questions = PeerQuestions(routes, lambda: False, lambda *_: None, lambda: "")
-    questions.hear([server.address])
-    gossip = RateLimitGossip(here, questions.known, lambda: True, questions.tell)
+    client = PeerClient(routes, lambda: False, lambda *_: None, lambda: "")
+    client.remember([server.address])
+    gossip = RateLimitGossip(here, client.addresses, lambda: True, client.push)
     gossip.start()
     here.advertised("u", 2.0, "answer")
     until(lambda: there.per_second("u") == 2.0, "the peer's knowledge")
