--- a/benchmarks/giver_news.py
+++ b/benchmarks/giver_news.py
@@ -95,7 +95,7 @@
     demand = Demand()
     asked = rng.sample(names, int(len(names) * ASKED_PART))
     entries = [DemandEntry(SERVICE, name, "", rng.randint(1, 5), 0, 0.0) for name in asked]
-    demand.heard(InstanceUpdate("i", entries, [], [], []))
+    demand.receive(InstanceUpdate("i", entries, [], [], []))
     waiting = [
         WaitingUnit(SERVICE, Unit(name), 2, 5.0)
         for name in rng.sample(names, max(1, int(len(names) * WAITING_PART)))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -135,7 +135,7 @@
     instances = InstanceCount(lambda: lease.record.instances if lease.record else 0)
 
     def on_leader_update(update: LeaderUpdate) -> None:
-        instances.hear(update.instances)
+        instances.receive(update.instances)
         _take_update(update, told_loads, fleet)
         if update.grants is not None:
             limiter.receive(update.grants)
@@ -179,7 +179,7 @@
             fleet.directory.leaving_unlisted(),
             fleet.retry_times.pending(),
         )
-        own_demand.heard(update)
+        own_demand.receive(update)
         return update
 
     issuer = PermitIssuer(fleet.rates.limited, fleet.directory.lists)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -78,7 +78,7 @@
             for model, copies in copies_by_model.items():
                 self._first_copies.setdefault((service, model), copies)
 
-    def heard(self, update: InstanceUpdate) -> None:
+    def receive(self, update: InstanceUpdate) -> None:
         """Take an instance's news."""
         now = time.monotonic()
         with self._lock:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_count.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_count.py
@@ -20,6 +20,6 @@
         self._most = max(self._most, self._recorded())
         return self._most
 
-    def hear(self, instances: int) -> None:
+    def receive(self, instances: int) -> None:
         """Take what the order giver tells."""
         self._most = max(self._most, instances)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_totals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_totals.py
@@ -47,7 +47,7 @@
     def __len__(self) -> int:
         return len(self._told_by_instance)
 
-    def heard(self, update: InstanceUpdate) -> bool:
+    def receive(self, update: InstanceUpdate) -> bool:
         """Take an instance's news; return whether it has just come, or come back."""
         now = time.monotonic()
         before = self._told_by_instance.get(update.instance)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
@@ -108,13 +108,13 @@
 
     def heard(self, update: InstanceUpdate) -> None:
         """Take an instance's news; called by the threads that receive them."""
-        self._demand.heard(update)
+        self._demand.receive(update)
         self._failing.receive(update.outcomes)
         self._use.receive(update.instance, update.drawn)
         self._directory.note_leaving(update.leaving, "instance")
-        if self._issuer.heard(update.instance, update.rate_limits):
+        if self._issuer.receive(update.instance, update.rate_limits):
             self._wake.set()
-        if self._instances.heard(update):
+        if self._instances.receive(update):
             # It knows nothing of what is held.
             self._schedule.request_full()
             self._wake.set()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/permit_issuer.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/permit_issuer.py
@@ -70,7 +70,7 @@
             self._by_id = {}
             self._begun_at = self._clock()
 
-    def heard(self, instance: str, entries: Iterable[RateLimitEntry]) -> bool:
+    def receive(self, instance: str, entries: Iterable[RateLimitEntry]) -> bool:
         """Take what ``instance`` tells; return whether requests wait there, or a limit is new."""
         now = self._clock()
         waiting, changed = 0, False
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
@@ -41,7 +41,7 @@
         served = min(arrivals, int(len(holders) * WORKER_PER_SECOND * STEP_SECONDS))
         missed = arrivals - served
         entry = DemandEntry(SERVICE, "a", "a1", arrivals, 0, 0.0, missed)
-        demand.heard(InstanceUpdate("i1", [entry], [], [], []))
+        demand.receive(InstanceUpdate("i1", [entry], [], [], []))
         busy = per_second // len(holders)
         views = [
             view(f"u{n}", busy if n in holders else 1, *(["a1"] if n in holders else []))
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
@@ -54,7 +54,7 @@
 def missing(rates_by_id, views, totals=NO_TOTALS):
     demand = Demand()
     refused = DemandEntry("llm", "busy", "", 8, 0, 0.0, overloads=8)
-    demand.heard(InstanceUpdate("i0", [refused], [], [], []))
+    demand.receive(InstanceUpdate("i0", [refused], [], [], []))
     engine = EngineRule(64, 100_000, 200.0, 8, 1.0, dict.fromkeys(ASKED))
     found = ServiceViews(None, None, demand, lambda: rates_by_id).missing(
         "llm", engine, views, totals
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
@@ -14,7 +14,7 @@
     """What one instance has counted while another one gave the orders."""
     own = Demand()
     for _ in range(8):
-        own.heard(update(a=10, b=1))
+        own.receive(update(a=10, b=1))
     return own.snapshot()
 
 
@@ -25,11 +25,11 @@
 
 def test_rates_are_taken_over(told):
     taken_over = Demand()
-    taken_over.heard(introduction(told))
-    taken_over.heard(introduction(told, "i2"))
+    taken_over.receive(introduction(told))
+    taken_over.receive(introduction(told, "i2"))
     alone = Demand()
     for _ in range(8):
-        alone.heard(update(a=20, b=2))
+        alone.receive(update(a=20, b=2))
     for model in ("a", "b"):
         expected = alone.model_rate(SERVICE, model)
         assert taken_over.model_rate(SERVICE, model) == pytest.approx(expected, rel=0.05)
@@ -40,12 +40,12 @@
     # A link is dialled anew while the same giver goes on: told again, all of it would
     # count twice.
     demand = Demand()
-    demand.heard(introduction(told))
+    demand.receive(introduction(told))
     once = demand.model_rate(SERVICE, "a")
-    demand.heard(introduction(told))
+    demand.receive(introduction(told))
     assert demand.model_rate(SERVICE, "a") == pytest.approx(once, rel=0.05)
     demand.forget_introductions()
-    demand.heard(introduction(told))
+    demand.receive(introduction(told))
     assert demand.model_rate(SERVICE, "a") > 1.5 * once
 
 
@@ -57,7 +57,7 @@
     unaware = Planner(SERVICE, engine, Demand())
     assert unaware.relief_swap([*views, view("u1", "c")], cold_allowed=True) is None
     demand = Demand()
-    demand.heard(introduction(told))
+    demand.receive(introduction(told))
     aware = Planner(SERVICE, engine, demand)
     swap = aware.relief_swap([*views, view("u1", "c")], cold_allowed=True)
     assert swap is not None
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_instance_count.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_instance_count.py
@@ -14,6 +14,6 @@
 
 def test_count_never_falls():
     count = InstanceCount(lambda: 0)
-    count.hear(80)
-    count.hear(20)
+    count.receive(80)
+    count.receive(20)
     assert count() == 80
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_instance_totals.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_instance_totals.py
@@ -12,7 +12,7 @@
 def rejecting(*told):
     totals = InstanceTotals()
     for one in told:
-        totals.heard(one)
+        totals.receive(one)
     return totals.sum().rejecting
 
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_local_demand.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_local_demand.py
@@ -46,7 +46,7 @@
 def swap_for(engine, *updates):
     demand = Demand()
     for one in updates:
-        demand.heard(one)
+        demand.receive(one)
     planner = Planner(SERVICE, engine, demand)
     return planner.best_swap(demand.waiting(), [view("u0", "a", "b")], cold_allowed=True)
 
@@ -76,7 +76,7 @@
     demand = Demand()
     planner = Planner(SERVICE, engine, demand)
     for _ in range(40):
-        demand.heard(update_of(Unit("c"), 2, waits=1))
+        demand.receive(update_of(Unit("c"), 2, waits=1))
         swap = planner.best_swap(demand.waiting(), [view("u0", "a", "b")], cold_allowed=True)
         if swap is not None:
             break
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_permit_issuer.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_permit_issuer.py
@@ -33,10 +33,10 @@
 
 def test_whoever_has_waited_longest_is_issued_to_first(issuer, clock):
     # Guards against requests that time out behind later ones of a busier instance.
-    issuer.heard("late", told(waiting=1, longest=0.2))
+    issuer.receive("late", told(waiting=1, longest=0.2))
     clock[0] = FIRST_PERMIT_SECONDS
-    issuer.heard("late", told(waiting=1, longest=0.2))
-    issuer.heard("early", told(waiting=1, longest=1.5))
+    issuer.receive("late", told(waiting=1, longest=0.2))
+    issuer.receive("early", told(waiting=1, longest=1.5))
     assert issued(issuer) == {U: {"early": 1}}
     assert issued(issuer) == {U: {}}
 
@@ -44,45 +44,45 @@
 def test_what_nobody_waits_for_is_issued_to_find_out_the_end(issuer, clock):
     # Guards against a limit whose end nobody finds out, and against a bucket that is
     # empty when a request has no other upstream.
-    issuer.heard("one", told())
+    issuer.receive("one", told())
     clock[0] = FIRST_PERMIT_SECONDS
-    issuer.heard("one", told())
+    issuer.receive("one", told())
     assert issued(issuer) == {U: {}}
     clock[0] += 1.0
-    issuer.heard("one", told())
+    issuer.receive("one", told())
     assert issued(issuer) == {U: {"one": 1}}
 
 
 def test_nothing_is_issued_while_another_order_giver_may_have_issued(issuer, clock):
     # Guards against two order givers that issue the same permits at the change.
     issuer.begin()
-    issuer.heard("one", told(waiting=3))
+    issuer.receive("one", told(waiting=3))
     clock[0] = QUIET_SECONDS
-    issuer.heard("one", told(waiting=3))
+    issuer.receive("one", told(waiting=3))
     assert issued(issuer) == {U: {}}
 
 
 def test_calls_of_the_order_giver_draw_from_the_same_bucket(issuer, clock):
     # Guards against orders and reports beside the requests that use up a limit.
     assert not issuer.draw(U)
-    issuer.heard("one", told(waiting=1))
+    issuer.receive("one", told(waiting=1))
     clock[0] = FIRST_PERMIT_SECONDS
     assert issuer.draw(U)
-    issuer.heard("one", told(waiting=1))
+    issuer.receive("one", told(waiting=1))
     assert issued(issuer) == {U: {}}
     assert issuer.draw("another")
 
 
 def test_newest_observation_counts(issuer, clock):
     # Guards against an instance that still tells of a limit that another has seen end.
-    issuer.heard("one", told(age=2.0))
-    issuer.heard("two", told(per_second=None, age=0.1))
-    issuer.heard("one", told(age=2.2))
+    issuer.receive("one", told(age=2.0))
+    issuer.receive("two", told(per_second=None, age=0.1))
+    issuer.receive("one", told(age=2.2))
     assert [e.per_second for e in issuer.issue(all_limits=True)] == [None]
     assert issuer.draw(U)
 
 
 def test_nothing_is_issued_of_an_upstream_that_has_left(issuer):
     # Guards against an order giver that tells of upstreams that are gone.
-    issuer.heard("one", [RateLimitEntry("gone", 1.0, 0.0, True, 1, 0.0)])
+    issuer.receive("one", [RateLimitEntry("gone", 1.0, 0.0, True, 1, 0.0)])
     assert issued(issuer) == {}
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
@@ -34,7 +34,7 @@
 
 
 def test_spare_copy_goes_before_the_only_one(planner, demand):
-    demand.heard(update(a=1, b=1))
+    demand.receive(update(a=1, b=1))
     views = [view("u0", "a", "b"), view("u1", "a", "d")]
     swap = planner.swap_for(waits("c", 9), views, cold_allowed=True)
     assert swap.evicted == ("a",)
@@ -50,13 +50,13 @@
     # One request for a rare model would drive out a model that is asked for
     # several times a second, and all its callers would wait for its load.
     for _ in range(8):
-        demand.heard(update(a=10, b=10))
+        demand.receive(update(a=10, b=10))
     assert planner.swap_for(waits("c"), [view("u0", "a", "b")], cold_allowed=True) is None
 
 
 def test_rare_model_that_rests_makes_room(planner, demand):
-    demand.heard(update(a=1))
-    demand.heard(update(b=40))
+    demand.receive(update(a=1))
+    demand.receive(update(b=40))
     swap = planner.swap_for(waits("c", 8), [view("u0", "a", "b")], cold_allowed=True)
     assert swap.evicted == ("a",)
 
@@ -78,11 +78,11 @@
     # Two models fill the worker and nobody asks for them. A third one is asked for
     # now and then: it would wait for ever if the others were always expected.
     views = [view("u0", "a", "b")]
-    demand.heard(update(c=1))
+    demand.receive(update(c=1))
     assert planner.swap_for(waits("c", 3), views, cold_allowed=True) is None
     real = time.monotonic
     monkeypatch.setattr(time, "monotonic", lambda: real() + 60.0)
-    demand.heard(update(c=1))
+    demand.receive(update(c=1))
     assert planner.swap_for(waits("c", 5), views, cold_allowed=True) is not None
 
 
@@ -90,11 +90,11 @@
     # A model is asked for once in ten seconds, and no worker has a copy at hand: by
     # its requests alone its load never pays, and its callers would never be served.
     views = [view("u0", "a", "b")]
-    demand.heard(update(a=1, b=1))
+    demand.receive(update(a=1, b=1))
     real = time.monotonic
     for later, served in ((0.0, False), (10.0, False), (30.0, True)):
         monkeypatch.setattr(time, "monotonic", lambda later=later: real() + later)
-        demand.heard(update(c=1))
+        demand.receive(update(c=1))
         assert (planner.swap_for(waits("c"), views, cold_allowed=True) is not None) is served
 
 
@@ -123,7 +123,7 @@
 
 def test_overloaded_model_gets_another_copy(planner, demand):
     for _ in range(10):
-        demand.heard(update(a=10))
+        demand.receive(update(a=10))
     views = [view("u0", "a", "b", prompt_tokens=20_000), view("u1", "c")]
     swap = planner.relief_swap(views, cold_allowed=True)
     assert (swap.model.name, swap.view.upstream.id) == ("a", "u1")
@@ -163,7 +163,7 @@
     # holder is full. Each time a worker is free, one request for a rare model takes
     # its next seconds: the busy model stays with one holder for as long as that lasts.
     for _ in range(10):
-        demand.heard(overload_update("a", arrivals=5, missed=4))
+        demand.receive(overload_update("a", arrivals=5, missed=4))
     views = [view("u0", "a", "b", free=False), view("u1", "c", "d")]
     swap = planner.best_swap([waits("e")], views, cold_allowed=True)
     assert swap.model.name == "a"
@@ -181,7 +181,7 @@
 
 def test_model_whose_requests_are_in_time_gets_no_further_copy(planner, demand):
     for _ in range(10):
-        demand.heard(update(a=2, b=2))
+        demand.receive(update(a=2, b=2))
     views = [view("u0", "a", "b"), view("u1", "a", "b"), view("u2", "c", "d")]
     assert planner.best_swap([], views, cold_allowed=True) is None
 
@@ -190,10 +190,10 @@
     # Demand has moved on. A load that is begun for what was asked for until now takes
     # six seconds, and nobody is left to be served.
     for _ in range(10):
-        demand.heard(update(a=10))
+        demand.receive(update(a=10))
     busy = demand.model_rate(SERVICE, "a")
     real = time.monotonic
     monkeypatch.setattr(time, "monotonic", lambda: real() + 4.0)
     assert demand.model_rate(SERVICE, "a") < busy / 2
-    demand.heard(update(a=10))
+    demand.receive(update(a=10))
     assert demand.model_rate(SERVICE, "b") == 0.0
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
@@ -65,7 +65,7 @@
                       round((rate - served[name]) * STEP_SECONDS))
             for name, rate in self.rates.items()
         ]  # fmt: skip
-        self.demand.heard(InstanceUpdate("i1", entries, [], [], []))
+        self.demand.receive(InstanceUpdate("i1", entries, [], [], []))
         self._plan()
         return sum(served.values()) / sum(self.rates.values())
 
--- a/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
@@ -147,7 +147,7 @@
             rates = self.rates[number]
             if self.random.random() >= self.history.lost_part:
                 introduce = number not in self._introduced
-                self.issuer.heard(f"i{number}", rates.updates(full=introduce))
+                self.issuer.receive(f"i{number}", rates.updates(full=introduce))
                 self._introduced.add(number)
         issued = self.issuer.issue(all_limits=regular)
         for rates in self.rates:
