--- a/benchmarks/giver_news.py
+++ b/benchmarks/giver_news.py
@@ -72,7 +72,7 @@
     loads = [LoadEntry(view.upstream.id, 7, 12_000) for view in views]
     store = StoreUpdate(123_456, ListUpdate([], [], 0.31, 2**63, 123_456), 42, 0.72)
 
-    def giver(entries: list[ResidencyEntry], sums: list[LoadEntry] | None) -> LeaderUpdate:
+    def leader(entries: list[ResidencyEntry], sums: list[LoadEntry] | None) -> LeaderUpdate:
         return LeaderUpdate(
             "edge-zone-a-1", 123, entries, sums is not None, {}, sums, instances, store
         )
@@ -82,9 +82,9 @@
     own_loads = [LoadEntry(view.upstream.id, 1, 1800) for view in some]
     uses = [UseEntry(view.upstream.id, next(iter(view.resident)), "a1", 1) for view in some]
     return {
-        "all_held_bytes": len(encode(giver(held, loads))),
-        "regular_bytes": len(encode(giver([], loads))),
-        "change_bytes": len(encode(giver(held[:1], None))),
+        "all_held_bytes": len(encode(leader(held, loads))),
+        "regular_bytes": len(encode(leader([], loads))),
+        "change_bytes": len(encode(leader(held[:1], None))),
         "instance_bytes": len(encode(InstanceUpdate("edge-zone-a-1", demand, own_loads, uses, []))),
     }
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -19,6 +19,7 @@
 from redwingscale_daemon._internal.store.rows import RowStore
 from redwingscale_daemon._internal.swaps.demand import Demand
 from redwingscale_daemon._internal.swaps.instance_count import InstanceCount
+from redwingscale_daemon._internal.swaps.leader import Leader
 from redwingscale_daemon._internal.swaps.leader_client import LeaderClient
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
 from redwingscale_daemon._internal.swaps.leader_server import LeaderServer
@@ -34,9 +35,8 @@
     UseEntry,
 )
 from redwingscale_daemon._internal.swaps.order_client import EngineCalls, OrderClient
-from redwingscale_daemon._internal.swaps.order_giver import OrderGiver
 from redwingscale_daemon._internal.swaps.permit_issuer import PermitIssuer
-from redwingscale_daemon._internal.swaps.worker_orders import GiverRight
+from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority
 from redwingscale_daemon._internal.telemetry.ingress_metrics import IngressMetrics
 from redwingscale_daemon._internal.utils.periodic import Periodic
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
@@ -184,16 +184,18 @@
 
     issuer = PermitIssuer(fleet.rates.limited, fleet.directory.lists)
     fleet.directory.on_gone(issuer.forget)
-    right = GiverRight(
+    authority = OrderAuthority(
         me,
         lease.fence,
         lambda: lease.succeeds_another,
         settings.bounds.order_quiet,
         lambda upstream: not fleet.retry_times.remaining(upstream) and issuer.draw(upstream),
     )
-    server = LeaderServer(settings.host, news_port, needs_port, lambda update: giver.heard(update))
-    giver = OrderGiver(
-        right,
+    server = LeaderServer(
+        settings.host, news_port, needs_port, lambda update: leader.receive(update)
+    )
+    leader = Leader(
+        authority,
         routes,
         fleet.directory,
         OrderClient(
@@ -212,9 +214,9 @@
         instances,
         fleet.rates.limited,
     )
-    fleet.directory.on_gone(giver.forget)
+    fleet.directory.on_gone(leader.forget)
     peers = build_peers(settings, routes, reads, route_versions, lease, fleet)
-    client = LeaderClient(lease, me, make_update, on_leader_update, giver.heard)
+    client = LeaderClient(lease, me, make_update, on_leader_update, leader.receive)
     local_demand.on_new_wait(client.wake)
     fleet.rates.on_update(client.wake)
 
@@ -231,7 +233,7 @@
             lease_retry.answered()
 
     def give() -> None:
-        update = giver.step()
+        update = leader.step()
         if update is not None:
             on_leader_update(update)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
@@ -55,7 +55,7 @@
         "Op": "load" if isinstance(order.action, Load) else "unload",
         "Model": order.action.unit.model,
         "Expect": order.orders_accepted,
-        "Holder": order.giver,
+        "Holder": order.leader,
         "Fence": order.fence,
     }
     if order.action.unit.adapter:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -33,7 +33,7 @@
 from redwingscale_daemon._internal.swaps.service_views import ServiceViews
 from redwingscale_daemon._internal.swaps.tasks import SwapTask
 from redwingscale_daemon._internal.swaps.update_schedule import UPDATE_SECONDS, UpdateSchedule
-from redwingscale_daemon._internal.swaps.worker_orders import GiverRight
+from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority
 from redwingscale_daemon._internal.swaps.worker_pool import WorkerPool
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 from redwingscale_daemon._internal.workspaces.use_totals import UseTotals
@@ -60,12 +60,12 @@
 MOST_PEERS_TOLD = 8
 
 
-class OrderGiver:
+class Leader:
     """Plans while this instance holds the right to give orders; else does nothing."""
 
     def __init__(
         self,
-        right: GiverRight,
+        authority: OrderAuthority,
         routes: CurrentRoutes,
         directory: UpstreamDirectory,
         client: OrderClient,
@@ -78,7 +78,7 @@
         known_instances: Callable[[], int] = lambda: 0,
         limits_by_id: Callable[[], Mapping[str, float]] = dict,
     ) -> None:
-        self._right = right
+        self._authority = authority
         self._routes = routes
         self._directory = directory
         self._server = server
@@ -92,7 +92,7 @@
         self._demand = Demand()
         self._rate = LoadRate()
         self._wake = threading.Event()
-        self._workers = WorkerPool(self._engine, client, right, self._wake.set)
+        self._workers = WorkerPool(self._engine, client, authority, self._wake.set)
         self._service_views = ServiceViews(directory, self._workers, self._demand, limits_by_id)
         self._adapters = AdapterOrders(self._demand, self._workers)
         self._instances = InstanceTotals()
@@ -106,7 +106,7 @@
         # Not for secrets: it only spreads questions.
         self._random = random.Random()
 
-    def heard(self, update: InstanceUpdate) -> None:
+    def receive(self, update: InstanceUpdate) -> None:
         """Take an instance's news; called by the threads that receive them."""
         self._demand.receive(update)
         self._failing.receive(update.outcomes)
@@ -129,7 +129,7 @@
         """Plan once and return what was told, None for nothing new or without the right."""
         self._wake.wait(UPDATE_SECONDS)
         self._wake.clear()
-        fence = self._right.fence()
+        fence = self._authority.fence()
         if fence is None:
             self._lay_down()
             return None
@@ -159,12 +159,12 @@
         self._issuer.begin()
         self._changes.begin_with(self._directory.all())
         table = self._routes.get()
-        if not self._right.succeeds_another() or table is None:
+        if not self._authority.succeeds_another() or table is None:
             return
         for service in table.services_by_name.values():
             if service.engine is not None:
                 self._rate.succeed(
-                    self._ceiling(service.engine), self._right.handover_pause_seconds
+                    self._ceiling(service.engine), self._authority.handover_pause_seconds
                 )
 
     def _ceiling(self, engine: EngineRule) -> LoadCeiling:
@@ -263,7 +263,7 @@
             return None
         loads = [LoadEntry(key, *load) for key, load in self._totals.loads.items()]
         return LeaderUpdate(
-            self._right.instance,
+            self._authority.instance,
             fence,
             residency,
             residency_complete,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_client.py
@@ -109,7 +109,7 @@
         late = seconds > LATE_SECONDS
         if late != self._update_late:
             self._update_late = late
-            log_event("giver_news_late", giver=update.giver, late=late, seconds=round(seconds, 3))
+            log_event("giver_news_late", giver=update.leader, late=late, seconds=round(seconds, 3))
         return seconds
 
     def _follow(self) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order.py
@@ -27,7 +27,7 @@
 
     action: Load | Unload
     orders_accepted: int
-    giver: str
+    leader: str
     fence: int
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -37,7 +37,7 @@
 UNREACHABLE_SECONDS = 0.5
 
 
-class GiverRight(NamedTuple):
+class OrderAuthority(NamedTuple):
     """Who gives the orders.
 
     ``fence`` returns the number to use now, None without the right. Where another
@@ -70,14 +70,14 @@
         upstream: Upstream,
         engine: Callable[[], EngineRule | None],
         client: OrderClient,
-        right: GiverRight,
+        authority: OrderAuthority,
         on_change: Callable[[], None],
         unanswered: Iterable[UnansweredLoad] = (),
     ) -> None:
         self.upstream = upstream
         self.ledger = WorkerLedger(upstream, engine, unanswered)
         self._client = client
-        self._right = right
+        self._authority = authority
         self._on_change = on_change
         self._going: frozenset[str] = frozenset()
         self._going_adapters: frozenset[Unit] = frozenset()
@@ -169,7 +169,7 @@
 
     def _own_report(self) -> EngineReport | None:
         """Return the worker's report, None without one or from another start of it."""
-        if not self._right.may_call(self.upstream.id):
+        if not self._authority.may_call(self.upstream.id):
             return None
         report = self._client.report(self.upstream)
         if report is None or self.ledger.is_own(report):
@@ -240,11 +240,11 @@
         """Send one order, counted in the ledger if the worker has taken it."""
         if not self._awaits_turn():
             return OrderResult.REFUSED
-        fence = self._right.fence()
+        fence = self._authority.fence()
         if self.ledger.report is None or fence is None:
             return OrderResult.REFUSED
         accepted = self.ledger.orders_accepted
-        order = Order(action, accepted, self._right.instance, fence)
+        order = Order(action, accepted, self._authority.instance, fence)
         result = self._client.order(self.upstream, order)
         log_event(
             "order_sent",
@@ -261,7 +261,7 @@
     def _awaits_turn(self) -> bool:
         """Wait until the worker takes a call; return whether it does."""
         end = time.monotonic() + TURN_SECONDS
-        while not self._right.may_call(self.upstream.id):
+        while not self._authority.may_call(self.upstream.id):
             if time.monotonic() > end:
                 return False
             time.sleep(POLL_SECONDS)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.swaps.order_client import OrderClient
 from redwingscale_daemon._internal.swaps.tasks import Task
 from redwingscale_daemon._internal.swaps.unanswered import UnansweredLoad
-from redwingscale_daemon._internal.swaps.worker_orders import GiverRight, WorkerOrders
+from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority, WorkerOrders
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
 # By the name of a service, None for one without model workers.
@@ -24,12 +24,12 @@
         self,
         engine_of: EngineOf,
         client: OrderClient,
-        right: GiverRight,
+        authority: OrderAuthority,
         on_change: Callable[[], None],
     ) -> None:
         self._engine_of = engine_of
         self._client = client
-        self._right = right
+        self._authority = authority
         self._on_change = on_change
         self._by_id: dict[str, WorkerOrders] = {}
         # Of workers that have gone: the same process may start again under its name.
@@ -95,7 +95,7 @@
             upstream,
             lambda: self._engine_of(upstream.service),
             self._client,
-            self._right,
+            self._authority,
             self._on_change,
             self._unanswered_by_name.pop(upstream.platform_name, ()),
         )
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
@@ -11,6 +11,7 @@
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.route_table import IngressLimits, RouteTable
 from redwingscale_daemon._internal.routes.service_rule import ServiceRule
+from redwingscale_daemon._internal.swaps.leader import Leader
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling
 from redwingscale_daemon._internal.swaps.messages import (
@@ -20,9 +21,8 @@
     ResidencyEntry,
     StoreUpdate,
 )
-from redwingscale_daemon._internal.swaps.order_giver import OrderGiver
 from redwingscale_daemon._internal.swaps.update_schedule import UpdateSchedule
-from redwingscale_daemon._internal.swaps.worker_orders import GiverRight
+from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority
 
 from .conftest import SERVICE, upstream
 
@@ -38,56 +38,56 @@
         return len(msgspec.msgpack.encode(update))
 
 
-def _giver_of_many(engine, worker, upstreams=1, link_mbps=1000.0):
+def _leader_of_many(engine, worker, upstreams=1, link_mbps=1000.0):
     routes = CurrentRoutes()
     services = {SERVICE: ServiceRule(SERVICE, 100, engine)}
     routes.offer(RouteTable(1, (), services, IngressLimits(1000, 1000, 1.0, 1.0)))
     fleet = new_fleet()
     fleet.directory.replace([upstream(f"u{n}", "a", "b") for n in range(upstreams)])
-    right = GiverRight("i0", lambda: 7)
+    authority = OrderAuthority("i0", lambda: 7)
     ceiling = LoadCeiling(0.0, 5.0)
 
     def read(changes):
         return StoreUpdate(1, changes.make_update(fleet.directory, 0.1), 1, 0.1)
 
-    return OrderGiver(right, routes, fleet.directory, worker, Server(), ceiling, read, link_mbps)
+    return Leader(authority, routes, fleet.directory, worker, Server(), ceiling, read, link_mbps)
 
 
 @pytest.fixture
-def giver(engine, worker):
-    return _giver_of_many(engine, worker)
+def leader(engine, worker):
+    return _leader_of_many(engine, worker)
 
 
 def loads(instance, requests):
     return InstanceUpdate(instance, [], [LoadEntry("u0", requests, 100 * requests)], [], [])
 
 
-def test_loads_of_all_instances_are_told_as_one_sum(giver):
+def test_loads_of_all_instances_are_told_as_one_sum(leader):
     # Sixty instances told of forty-five upstreams each: every message to each of them
     # held 2,700 entries, and they were most of the bytes between failure domains.
     for number in range(20):
-        giver.heard(loads(f"i{number}", 2))
-    assert giver.step().loads == [LoadEntry("u0", 40, 4000)]
+        leader.receive(loads(f"i{number}", 2))
+    assert leader.step().loads == [LoadEntry("u0", 40, 4000)]
 
 
-def test_nothing_is_told_between_two_changes(giver):
-    assert giver.step() is not None
-    giver.heard(InstanceUpdate("i1", [], [], [], []))
-    assert giver.step() is not None
-    giver._wake.set()
-    assert giver.step() is None
+def test_nothing_is_told_between_two_changes(leader):
+    assert leader.step() is not None
+    leader.receive(InstanceUpdate("i1", [], [], [], []))
+    assert leader.step() is not None
+    leader._wake.set()
+    assert leader.step() is None
 
 
-def test_instance_that_has_just_come_is_told_what_is_held(giver, monkeypatch):
-    giver.heard(loads("i1", 1))
-    giver.step()
+def test_instance_that_has_just_come_is_told_what_is_held(leader, monkeypatch):
+    leader.receive(loads("i1", 1))
+    leader.step()
     real = time.monotonic
     monkeypatch.setattr(time, "monotonic", lambda: real() + 0.4)
-    giver._wake.set()
-    update = giver.step()
+    leader._wake.set()
+    update = leader.step()
     assert (update.residency, update.residency_complete) == ([], False)
-    giver.heard(loads("i2", 1))
-    assert giver.step().residency_complete
+    leader.receive(loads("i2", 1))
+    assert leader.step().residency_complete
 
 
 def test_own_load_is_not_counted_twice():
@@ -202,12 +202,12 @@
     # All large machines were cut from the store, and one with 10 Mbit/s gave the orders:
     # four messages a second to two hundred instances filled its link, and it lost the
     # lease two seconds after each time that it took it.
-    giver = _giver_of_many(engine, worker, upstreams=78, link_mbps=10.0)
+    leader = _leader_of_many(engine, worker, upstreams=78, link_mbps=10.0)
     for number in range(195):
         entries = [LoadEntry(f"u{n}", 1, 1000) for n in range(78)]
-        giver.heard(InstanceUpdate(f"i{number}", [], entries, [], []))
+        leader.receive(InstanceUpdate(f"i{number}", [], entries, [], []))
     started = time.monotonic()
-    told = [giver.step() for _ in range(3)]
+    told = [leader.step() for _ in range(3)]
     seconds = time.monotonic() - started
     sent = sum(len(msgspec.msgpack.encode(update)) for update in told if update is not None)
     assert sent * 195 * 8 / seconds < 10e6
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
@@ -4,7 +4,7 @@
 from redwingscale_daemon._internal.swaps.order import Load, OrderResult
 from redwingscale_daemon._internal.swaps.tasks import SwapTask
 from redwingscale_daemon._internal.swaps.unanswered import UnansweredLoad, late_mb
-from redwingscale_daemon._internal.swaps.worker_orders import GiverRight, WorkerOrders
+from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority, WorkerOrders
 
 from .conftest import until, upstream
 
@@ -12,8 +12,8 @@
 @pytest.fixture
 def orders(engine, worker):
     def make(listed, unanswered=()):
-        right = GiverRight("i1", lambda: 5)
-        return WorkerOrders(listed, lambda: engine, worker, right, lambda: None, unanswered)
+        authority = OrderAuthority("i1", lambda: 5)
+        return WorkerOrders(listed, lambda: engine, worker, authority, lambda: None, unanswered)
 
     return make
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
@@ -6,7 +6,7 @@
 from redwingscale_daemon._internal.swaps.order import Load, OrderResult, Unload
 from redwingscale_daemon._internal.swaps.tasks import AdapterTask, SwapTask
 from redwingscale_daemon._internal.swaps.worker_orders import (
-    GiverRight,
+    OrderAuthority,
     WorkerOrders,
 )
 
@@ -32,7 +32,7 @@
         upstream("u0", "a"),
         lambda: engine,
         worker,
-        GiverRight("i1", lambda: right[0]),
+        OrderAuthority("i1", lambda: right[0]),
         lambda: None,
     )
 
@@ -54,7 +54,7 @@
     # Requests that are on their way to it must find it still there.
     seen = []
     orders = WorkerOrders(
-        upstream("u0", "a"), lambda: engine, worker, GiverRight("i1", lambda: right[0]),
+        upstream("u0", "a"), lambda: engine, worker, OrderAuthority("i1", lambda: right[0]),
         lambda: seen.append((sorted(orders.held() or {}), len(worker.orders))),
     )  # fmt: skip
     carry_out(orders, SwapTask(("a",), "c", 0.0))
@@ -133,7 +133,11 @@
     worker.held["b"] = frozenset()
     tight = engine._replace(weights_mb=140.0)
     orders = WorkerOrders(
-        upstream("u0", "a"), lambda: tight, worker, GiverRight("i1", lambda: right[0]), lambda: None
+        upstream("u0", "a"),
+        lambda: tight,
+        worker,
+        OrderAuthority("i1", lambda: right[0]),
+        lambda: None,
     )
     carry_out(orders, AdapterTask(Unit("a", "a1"), ()))
     assert worker.orders == []
