--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -103,7 +103,10 @@
     own_reports: OwnReports,
 ) -> tuple[Periodic, ...]:
     list_reads = ListReads(
-        swaps.gives, swaps.list_news.replaces_read, lambda: own_reports.leader_silent, bounds.leave
+        swaps.is_leader,
+        swaps.list_updates.replaces_read,
+        lambda: own_reports.leader_silent,
+        bounds.leave,
     )
     route_follower = RouteFollower(
         store,
@@ -112,7 +115,7 @@
         routes,
         reads.configuration,
         swaps.route_versions,
-        swaps.gives,
+        swaps.is_leader,
         bounds.configuration,
         swaps.fetch_announced,
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -23,7 +23,7 @@
 # A version that was told is read from the store first.
 BEHIND_SECONDS = 0.3
 # An order giver that has been silent for longer may not tell in time of a rate limit.
-GIVER_SILENT_SECONDS = 0.5
+LEADER_SILENT_SECONDS = 0.5
 
 
 class Peers(NamedTuple):
@@ -74,7 +74,7 @@
     gossip = RateLimitGossip(
         fleet.rates,
         peer_client.addresses,
-        lambda: not lease.is_leader and fleet.residency.age > GIVER_SILENT_SECONDS,
+        lambda: not lease.is_leader and fleet.residency.age > LEADER_SILENT_SECONDS,
         peer_client.push,
     )
     return Peers(peer_server, peer_client, (peer_server, asking, gossip), fetch_announced)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -51,8 +51,8 @@
 # The order giver tells its news to all instances and plans for all workers. A machine
 # with less than this leaves the lease to others for a while, as its own requests would
 # wait.
-GIVER_CORES = 1.0
-GIVER_LINK_MBPS = 100.0
+LEADER_CORES = 1.0
+LEADER_LINK_MBPS = 100.0
 STANDBY_SECONDS = 0.75
 # Instances alike leave the lease to each other for a drawn part of this: all of them
 # would else write at the same moment, and all but one in vain.
@@ -62,8 +62,8 @@
 class Swaps(NamedTuple):
     """``instances`` tells how many instances share the deployment's budgets.
 
-    ``gives`` tells whether this instance is the order giver, which reads the store
-    for all; ``list_news`` and ``route_versions`` stand in for the reads of the others, and
+    ``is_leader`` tells whether this instance is the order giver, which reads the store
+    for all; ``list_updates`` and ``route_versions`` stand in for the reads of the others, and
     ``fetch_announced`` brings a configuration that it has told.
     """
 
@@ -71,8 +71,8 @@
     tasks: tuple[Task, ...]
     release: Callable[[], None]
     instances: Callable[[], int]
-    gives: Callable[[], bool]
-    list_news: ListUpdateTracker
+    is_leader: Callable[[], bool]
+    list_updates: ListUpdateTracker
     route_versions: RouteVersionTracker
     fetch_announced: Callable[[], bool]
 
@@ -128,7 +128,7 @@
     # What callers ask for here, for order givers that take over later.
     own_demand = Demand()
     bounds = settings.bounds
-    list_news = ListUpdateTracker(fleet.directory, bounds.leave)
+    list_updates = ListUpdateTracker(fleet.directory, bounds.leave)
     route_versions = RouteVersionTracker(bounds.configuration)
     # What this instance has told last: the giver's sums hold it.
     told_loads: list[LoadEntry] = []
@@ -142,7 +142,7 @@
         peers.client.remember(update.peers)
         if not lease.is_leader:
             lease.note_renewal(update.store.lease_version)
-            list_news.take(update.fence, update.store.upstreams)
+            list_updates.take(update.fence, update.store.upstreams)
             route_versions.take(update.store.configuration, update.store.configuration_age)
 
     def read_for_all(changes: ListChanges) -> StoreUpdate:
@@ -248,8 +248,8 @@
         ),
         release=lease.release,
         instances=instances,
-        gives=lambda: lease.is_leader,
-        list_news=list_news,
+        is_leader=lambda: lease.is_leader,
+        list_updates=list_updates,
         route_versions=route_versions,
         fetch_announced=peers.fetch_announced,
     )
@@ -276,7 +276,7 @@
 
 
 def _standby_seconds(machine: Machine) -> float:
-    small = machine.cores < GIVER_CORES or machine.link_mbps < GIVER_LINK_MBPS
+    small = machine.cores < LEADER_CORES or machine.link_mbps < LEADER_LINK_MBPS
     # Not for secrets: it only spreads the writes.
     drawn = random.random() * CONTEST_SECONDS  # noqa: S311
     return drawn + (STANDBY_SECONDS if small else 0.0)
