--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -73,12 +73,12 @@
         # Not for secrets: it only spreads requests.
         self._random = random.Random()
 
-    def for_plain(self, service: str, tried: Collection[str]) -> Candidate | None:
+    def choose_plain(self, service: str, tried: Collection[str]) -> Candidate | None:
         """Return the cheapest upstream of a plain service that isn't in ``tried``."""
         upstreams = self._ready(self._of_plain(service, tried))
         return self._cheapest([Candidate(self._plain_cost(u), u) for u in upstreams])
 
-    def for_prompt(
+    def choose_holder(
         self,
         service: str,
         prompt: Prompt,
@@ -96,11 +96,11 @@
         return self._cheapest(candidates, compare_all=compare_all)
 
     def throttled_plain(self, service: str, tried: Collection[str]) -> list[str]:
-        """Return the ids of those that `for_plain` leaves out as they take no request now."""
+        """Return the ids of those that `choose_plain` leaves out as they take no request now."""
         return self._throttled(self._of_plain(service, tried)) if self._gate.known else []
 
     def throttled_holders(self, service: str, prompt: Prompt, tried: Collection[str]) -> list[str]:
-        """Return the ids of those that `for_prompt` leaves out as they take no request now."""
+        """Return the ids of those that `choose_holder` leaves out as they take no request now."""
         return self._throttled(self._holders(service, prompt, tried)) if self._gate.known else []
 
     def _of_plain(self, service: str, tried: Collection[str]) -> list[Upstream]:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -71,7 +71,7 @@
         A request that cannot be served in time is given up on at once, with when
         to come back: holding it would keep the caller from trying elsewhere.
         """
-        found = self.chooser.for_prompt(call.service, prompt, call.attempts.tried)
+        found = self.chooser.choose_holder(call.service, prompt, call.attempts.tried)
         if found is not None:
             return self._in_time(call, prompt, found)
         throttled = self.chooser.throttled_holders(call.service, prompt, call.attempts.tried)
@@ -106,7 +106,7 @@
         """
         if _overloaded(call, found) is None:
             return found
-        best = self.chooser.for_prompt(call.service, prompt, call.attempts.tried, compare_all=True)
+        best = self.chooser.choose_holder(call.service, prompt, call.attempts.tried, compare_all=True)
         refusal = _overloaded(call, best or found)
         if refusal is None:
             return best or found
@@ -124,7 +124,7 @@
         )
         while True:
             seen = self.changes.count
-            found = self.chooser.for_prompt(call.service, prompt, call.attempts.tried)
+            found = self.chooser.choose_holder(call.service, prompt, call.attempts.tried)
             if found is not None:
                 return found
             self._give_up_if_hopeless(call, prompt, time.monotonic() - started)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -63,7 +63,7 @@
         """Return the best upstream, waiting for one that takes no request yet; None without any."""
 
         def choose() -> Candidate | None:
-            return self._parts.chooser.for_plain(call.service, call.attempts.tried)
+            return self._parts.chooser.choose_plain(call.service, call.attempts.tried)
 
         found = choose()
         if found is not None or call.attempts.failure is not None:
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
@@ -74,7 +74,7 @@
 
     def _one(self, grey):
         number = self.random.randrange(self.shape.instances)
-        chosen = self.choosers[number].for_prompt("llm", PROMPT, ()).upstream.id
+        chosen = self.choosers[number].choose_holder("llm", PROMPT, ()).upstream.id
         fails = int(chosen[1:]) < grey and self.random.random() < self.shape.failing_part
         health = self.fleets[number].health
         (health.failed if fails else health.answered)(chosen)
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
@@ -42,7 +42,7 @@
     def __init__(self, fleet, rng):
         self.fleet, self.random = fleet, rng
 
-    def for_prompt(self, service, prompt, tried):
+    def choose_holder(self, service, prompt, tried):
         holders = self.fleet.directory.holders(service, prompt.unit)
         return Candidate(0.0, self.random.choice(holders))
 
@@ -89,7 +89,7 @@
         self.at(now + self.random.expovariate(self.shape.per_second), self.request)
         number = self.random.randrange(self.shape.instances)
         tokens = int(min(6870, self.random.lognormvariate(7.2, 0.7)))
-        chosen = self.choosers[number].for_prompt("llm", Prompt(UNIT, tokens, 100, ()), ())
+        chosen = self.choosers[number].choose_holder("llm", Prompt(UNIT, tokens, 100, ()), ())
         ticket = self.fleets[number].load_tracker.enter(chosen.upstream.id, UNIT, tokens)
         read = tokens / self.shape.tokens_per_ms / 1000 + FIRST_STEP_SECONDS
         begins = max(now, self.free_at[chosen.upstream.id])
@@ -172,7 +172,7 @@
         fleet.load_tracker.enter(upstream_id, UNIT, 2000)
     chooser = Chooser("z", fleet, lambda: 6)
     chosen = {
-        chooser.for_prompt("llm", Prompt(UNIT, 1000, 10, ()), ()).upstream.id for _ in range(50)
+        chooser.choose_holder("llm", Prompt(UNIT, 1000, 10, ()), ()).upstream.id for _ in range(50)
     }
     assert chosen == {"u1"}
 
@@ -191,4 +191,4 @@
     chooser = Chooser("z", fleet, lambda: 195)
     prompt = Prompt(UNIT, 1000, 10, ())
     for _ in range(50):
-        assert chooser.for_prompt("llm", prompt, (), compare_all=True).upstream.id == "u11"
+        assert chooser.choose_holder("llm", prompt, (), compare_all=True).upstream.id == "u11"
