--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -105,11 +105,11 @@
 
     def _of_plain(self, service: str, tried: Collection[str]) -> list[Upstream]:
         usable = self._directory.usable(service)
-        return [u for u in usable if u.id not in tried and not self._health.is_gone(u.id)]
+        return [u for u in usable if u.id not in tried and not self._health.is_replaced(u.id)]
 
     def _holders(self, service: str, prompt: Prompt, tried: Collection[str]) -> list[Upstream]:
         holders = self._directory.holders(service, prompt.unit)
-        return [u for u in holders if u.id not in tried and not self._health.unreachable(u.id)]
+        return [u for u in holders if u.id not in tried and not self._health.is_unreachable(u.id)]
 
     def _ready(self, upstreams: list[Upstream]) -> list[Upstream]:
         """Return those that take a request now, by their rate limits and retry times."""
@@ -154,7 +154,7 @@
         The one that keeps most of the prompt is always among them, and one that has
         just failed only where no other is left.
         """
-        sound = [one for one in candidates if not self._health.avoided(one.upstream.id)]
+        sound = [one for one in candidates if not self._health.is_avoided(one.upstream.id)]
         among = sound or candidates
         count = max(LEAST_COMPARED, round(len(among) * FEW_INSTANCES / self._instances()))
         if count >= len(among):
@@ -168,7 +168,7 @@
         if upstream.failure_domain != self._failure_domain:
             extra += OTHER_DOMAIN_MS
         extra += self._health.failure_ratio(upstream.id) * FAILURE_MS
-        if self._health.avoided(upstream.id):
+        if self._health.is_avoided(upstream.id):
             extra += AVOIDED_MS
         return extra
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/health.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/health.py
@@ -39,9 +39,9 @@
         self._suspicions: dict[str, _Suspicion] = {}
         self._unreachable_until: dict[str, float] = {}
 
-    def failed(self, upstream_id: str) -> None:
+    def note_failure(self, upstream_id: str) -> None:
         """Note a request that the upstream lost, or answered with a failure of its own."""
-        self._outcomes.failed(upstream_id)
+        self._outcomes.count_failure(upstream_id)
         self._suspect(upstream_id)
 
     def _suspect(self, upstream_id: str) -> None:
@@ -52,7 +52,7 @@
                 before.failures + 1, time.monotonic() + avoid
             )
 
-    def not_reached(self, upstream_id: str) -> None:
+    def note_unreachable(self, upstream_id: str) -> None:
         """Note a connection that the upstream didn't take."""
         self._suspect(upstream_id)
         with self._lock:
@@ -61,7 +61,7 @@
         if first:
             log_event("upstream_unreachable", level="WARNING", upstream=upstream_id)
 
-    def gone(self, upstream_id: str) -> None:
+    def note_replaced(self, upstream_id: str) -> None:
         """Note that another process has the upstream's address.
 
         An upstream that has restarted is listed under its former id for some
@@ -71,9 +71,9 @@
             self._unreachable_until[upstream_id] = math.inf
         log_event("upstream_replaced", level="WARNING", upstream=upstream_id)
 
-    def answered(self, upstream_id: str) -> None:
+    def note_answer(self, upstream_id: str) -> None:
         """Note a sound answer."""
-        self._outcomes.answered(upstream_id)
+        self._outcomes.count_answer(upstream_id)
         if upstream_id not in self._suspicions:
             return
         with self._lock:
@@ -86,16 +86,16 @@
         """Return which part of its requests an upstream fails, over all instances."""
         return self._outcomes.failure_ratio(upstream_id)
 
-    def avoided(self, upstream_id: str) -> bool:
+    def is_avoided(self, upstream_id: str) -> bool:
         """Return whether another upstream is better."""
         suspicion = self._suspicions.get(upstream_id)
         return suspicion is not None and time.monotonic() < suspicion.until
 
-    def is_gone(self, upstream_id: str) -> bool:
+    def is_replaced(self, upstream_id: str) -> bool:
         """Return whether another process is known to have the upstream's address."""
         return self._unreachable_until.get(upstream_id) == math.inf
 
-    def unreachable(self, upstream_id: str) -> bool:
+    def is_unreachable(self, upstream_id: str) -> bool:
         """Return whether ``upstream_id`` took no connection just now."""
         until = self._unreachable_until.get(upstream_id)
         return until is not None and time.monotonic() < until
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/outcomes.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/outcomes.py
@@ -25,12 +25,12 @@
         self._failing: dict[str, float] = {}
         self._told_at = float("-inf")
 
-    def answered(self, upstream_id: str) -> None:
+    def count_answer(self, upstream_id: str) -> None:
         """Count a sound answer."""
         with self._lock:
             self._answered[upstream_id] += 1
 
-    def failed(self, upstream_id: str) -> None:
+    def count_failure(self, upstream_id: str) -> None:
         """Count a request that the upstream lost, or answered with a failure of its own."""
         with self._lock:
             self._failed[upstream_id] += 1
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -125,9 +125,9 @@
         self._parts.sender.keep(answering)
         failed = response.status >= FIRST_SERVER_ERROR
         if response.status in OWN_FAILURES:
-            self._parts.health.failed(upstream.id)
+            self._parts.health.note_failure(upstream.id)
         elif not failed:
-            self._parts.health.answered(upstream.id)
+            self._parts.health.note_answer(upstream.id)
         unsigned = response.status < FIRST_ERROR and not self._parts.dialect.is_signed(response)
         if (failed or unsigned) and call.attempts.failed(upstream.id, f"status {response.status}"):
             log_event(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sending_failure.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sending_failure.py
@@ -15,11 +15,11 @@
     """Log the failed sending, and let the health of its upstream count it."""
     match outcome:
         case Lost():
-            parts.health.failed(outcome.upstream.id)
+            parts.health.note_failure(outcome.upstream.id)
         case NotRun(reached=False):
-            parts.health.not_reached(outcome.upstream.id)
+            parts.health.note_unreachable(outcome.upstream.id)
         case NotRun(gone=True):
-            parts.health.gone(outcome.upstream.id)
+            parts.health.note_replaced(outcome.upstream.id)
     log_event(
         "sending_failed",
         request=call.terms.request_id,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -158,7 +158,7 @@
             answering.connection.discard()
             raise
         self._parts.sender.keep(answering)
-        self._parts.health.answered(answering.upstream.id)
+        self._parts.health.note_answer(answering.upstream.id)
         return True
 
     def _pass_events(
@@ -201,7 +201,7 @@
         self._parts.sender.keep(answering)
         status = answering.response.status
         if status in OWN_FAILURES:
-            self._parts.health.failed(answering.upstream.id)
+            self._parts.health.note_failure(answering.upstream.id)
         failed = status >= FIRST_SERVER_ERROR
         if failed and call.attempts.failed(answering.upstream.id, f"status {status}"):
             return False
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
@@ -77,7 +77,7 @@
         chosen = self.choosers[number].choose_holder("llm", PROMPT, ()).upstream.id
         fails = int(chosen[1:]) < grey and self.random.random() < self.shape.failing_part
         health = self.fleets[number].health
-        (health.failed if fails else health.answered)(chosen)
+        (health.note_failure if fails else health.note_answer)(chosen)
         return fails
 
     def _tell(self):
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_starts.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_starts.py
@@ -40,12 +40,12 @@
     # went on to it for a model and for prompts that only the former start held, and
     # were avoided for failures that were not its own.
     fleet.prefixes.sent("w@1", PROMPT)
-    fleet.health.failed("w@1")
+    fleet.health.note_failure("w@1")
     fleet.latency_factors.observed("w@1", 100.0, 500.0)
     fleet.directory.replace([start(2, 2)])
     assert holders(fleet) == []
     assert fleet.prefixes.kept_tokens("w@2", PROMPT) == 0
-    assert not fleet.health.avoided("w@2")
+    assert not fleet.health.is_avoided("w@2")
     assert fleet.latency_factors.factor("w@2") == 1.0
     assert fleet.prefixes.kept_tokens("w@1", PROMPT) == 0
 
