--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/latency_factors.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/latency_factors.py
@@ -25,7 +25,7 @@
         """Return by how much ``upstream_id`` is slower than its load suggests."""
         return self._factors.get(upstream_id, 1.0)
 
-    def observed(self, upstream_id: str, expected_ms: float, real_ms: float) -> None:
+    def observe(self, upstream_id: str, expected_ms: float, real_ms: float) -> None:
         """Note a first event that was expected, at factor 1, after ``expected_ms``."""
         if expected_ms < LEAST_EXPECTED_MS and real_ms < LEAST_EXPECTED_MS:
             return
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/load_tracker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/load_tracker.py
@@ -34,7 +34,7 @@
         self._prompt_tokens = prompt_tokens
         self._open = True
 
-    def prompt_read(self) -> None:
+    def note_prompt_read(self) -> None:
         """Note the first event: the prompt has been read."""
         if self._prompt_tokens:
             self._load_tracker.add(self._upstream_id, 0, -self._prompt_tokens)
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
@@ -99,8 +99,8 @@
         latency_factors = self.fleets[number].latency_factors
 
         def first_event():
-            ticket.prompt_read()
-            latency_factors.observed(chosen.upstream.id, chosen.first_event_ms, (done - now) * 1000)
+            ticket.note_prompt_read()
+            latency_factors.observe(chosen.upstream.id, chosen.first_event_ms, (done - now) * 1000)
 
         self.at(done, first_event)
         self.at(done + STREAM_SECONDS, ticket.leave)
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_starts.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_starts.py
@@ -41,7 +41,7 @@
     # were avoided for failures that were not its own.
     fleet.prefixes.sent("w@1", PROMPT)
     fleet.health.note_failure("w@1")
-    fleet.latency_factors.observed("w@1", 100.0, 500.0)
+    fleet.latency_factors.observe("w@1", 100.0, 500.0)
     fleet.directory.replace([start(2, 2)])
     assert holders(fleet) == []
     assert fleet.prefixes.kept_tokens("w@2", PROMPT) == 0
