--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/latency_factors.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/latency_factors.py
@@ -3,7 +3,7 @@
 import threading
 
 # A new figure counts for a quarter: some ten first events tell a slow upstream.
-NEWEST_PART = 0.25
+NEWEST_FRACTION = 0.25
 LEAST_FACTOR = 0.3
 MOST_FACTOR = 6.0
 # Below this the time on the way and the batch's step say more than the upstream.
@@ -32,7 +32,7 @@
         seen = real_ms / max(expected_ms, LEAST_EXPECTED_MS)
         with self._lock:
             before = self._factors.get(upstream_id, 1.0)
-            after = before + (seen - before) * NEWEST_PART
+            after = before + (seen - before) * NEWEST_FRACTION
             self._factors[upstream_id] = min(MOST_FACTOR, max(LEAST_FACTOR, after))
 
     def forget(self, upstream_ids: set[str]) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
@@ -11,7 +11,7 @@
 # An instance that reads for itself alone has no further way than to itself. Of the time
 # after which an upstream that leaves gets no new work; two reads, the first of which is
 # lost, are less.
-OWN_LIST_PART = 0.42
+OWN_READ_FRACTION = 0.42
 
 
 class ListReads:
@@ -33,7 +33,7 @@
         # Whether the giver's news stand in for a read, by the time of the last one.
         self._replaces_read = replaces_read
         self._leader_silent = leader_silent
-        self._least_seconds = leave_seconds * OWN_LIST_PART
+        self._least_seconds = leave_seconds * OWN_READ_FRACTION
 
     def not_due(self, last_read_at: float) -> bool:
         """Return whether no read is due, by the monotonic time of the last one."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_update_tracker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_update_tracker.py
@@ -10,7 +10,7 @@
 # Of the time after which an upstream that leaves gets no new work. The giver reads twice
 # a second and tells within a quarter of one: what is older than this comes from a giver
 # that no longer reads.
-CURRENT_PART = 0.6
+CURRENT_FRACTION = 0.6
 # However current the news are, the list is read in full this often: a change that
 # got lost on the way would else stay unknown.
 FULL_READ_SECONDS = 20.0
@@ -28,7 +28,7 @@
     """
 
     def __init__(self, directory: UpstreamDirectory, leave_seconds: float = 2.0) -> None:
-        self._current_seconds = leave_seconds * CURRENT_PART
+        self._current_seconds = leave_seconds * CURRENT_FRACTION
         self._directory = directory
         self._fence: int | None = None
         self._fence_at = float("inf")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
@@ -17,7 +17,7 @@
 SILENT_SECONDS = 0.8
 # A list that was read within this part of the time in which an upstream that leaves must
 # get no more work says enough; own reads come more often.
-LIST_PART = 0.6
+FRESH_LIST_FRACTION = 0.6
 # Callers of an instance that is cut off come back through another one at once.
 COME_BACK_SECONDS = 0.05
 # Those of a whole failure domain reach another one only when the balancer has found
@@ -87,7 +87,7 @@
         self._ask = ask
         # Whether an upstream, by its id, takes one more call.
         self._may_ask = may_ask
-        self._list_seconds = leave_seconds * LIST_PART
+        self._list_seconds = leave_seconds * FRESH_LIST_FRACTION
         # Only while it asks: its threads would rest for hours between two cuts.
         self._pool: ThreadPoolExecutor | None = None
         self._offset = itertools.count(step=MOST_EACH_ROUND)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/send_permits.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/send_permits.py
@@ -11,12 +11,12 @@
 # Without news of a limit for this long, the order giver has gone or is not heard.
 FRESH_SECONDS = 1.5
 # Of a limit, what all instances use that hear no order giver.
-UNTOLD_PART = 0.5
+LEADERLESS_FRACTION = 0.5
 # Instances that use a part of their own may each send once at the same moment. So many
 # of them, and so many for each request a second, are within the excess that upstreams
 # bear.
-UNTOLD_INSTANCES = 5
-UNTOLD_INSTANCES_PER_RATE = 4
+LEADERLESS_INSTANCES = 5
+LEADERLESS_INSTANCES_PER_RATE = 4
 
 
 class _Account(NamedTuple):
@@ -56,7 +56,7 @@
         begun_at = account.heard_at + FRESH_SECONDS
         if account.at < begun_at:
             account = account._replace(level=0.0, at=begun_at)
-        added = (now - account.at) * self._own_part(per_second)
+        added = (now - account.at) * self._own_rate(per_second)
         account = account._replace(level=min(1.0, account.level + added), at=now)
         self._by_id[upstream_id] = account
         return account.level
@@ -73,9 +73,9 @@
         """Drop an upstream that is gone."""
         self._by_id.pop(upstream_id, None)
 
-    def _own_part(self, per_second: float) -> float:
+    def _own_rate(self, per_second: float) -> float:
         """Return this instance's part of a limit without an order giver."""
         instances = max(1, self._instances())
-        if instances > UNTOLD_INSTANCES + UNTOLD_INSTANCES_PER_RATE * per_second:
+        if instances > LEADERLESS_INSTANCES + LEADERLESS_INSTANCES_PER_RATE * per_second:
             return 0.0
-        return per_second * UNTOLD_PART / instances
+        return per_second * LEADERLESS_FRACTION / instances
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_follower.py
@@ -16,9 +16,9 @@
 
 # Of the time in which a change must be in force: also when the connection of a waiting
 # read has gone silent just before it, one wait and its margin are less.
-WAIT_PART = 0.6
+WAIT_FRACTION = 0.6
 # The same for the one that reads for all: its word reaches them later than its reads.
-WAIT_PART_FOR_ALL = 0.25
+WAIT_FRACTION_FOR_ALL = 0.25
 # How often an instance that relies on the order giver's news looks whether they come.
 LOOK_SECONDS = 0.25
 
@@ -121,8 +121,8 @@
             # of the time that a change has left.
             self._reads_at_once = False
             return 0.0
-        part = WAIT_PART_FOR_ALL if self._reads_for_all() else WAIT_PART
-        return self._in_force_seconds * part
+        fraction = WAIT_FRACTION_FOR_ALL if self._reads_for_all() else WAIT_FRACTION
+        return self._in_force_seconds * fraction
 
     def _take(self, rows: Iterable[StoredRow]) -> None:
         for row in rows:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_version_tracker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_version_tracker.py
@@ -8,7 +8,7 @@
 
 # Of the time in which a change must be in force. The giver's waiting reads end earlier:
 # what is older comes from one that no longer reads. What is left is enough for an own read.
-CURRENT_PART = 0.6
+CURRENT_FRACTION = 0.6
 # The giver tells four times a second: after this it has stalled, or the link to it has.
 SILENT_SECONDS = 0.8
 
@@ -23,7 +23,7 @@
     """Stands in for an instance's own waiting reads, which cost a call each second."""
 
     def __init__(self, in_force_seconds: float = 2.0) -> None:
-        self._current_seconds = in_force_seconds * CURRENT_PART
+        self._current_seconds = in_force_seconds * CURRENT_FRACTION
         self._condition = threading.Condition()
         self._told = _Told(0, float("-inf"), float("-inf"))
 
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
@@ -35,7 +35,7 @@
     instances: int
     upstreams: int
     grey: int
-    failing_part: float
+    failure_ratio: float
     per_second: float
 
 
@@ -75,7 +75,7 @@
     def _one(self, grey):
         number = self.random.randrange(self.shape.instances)
         chosen = self.choosers[number].choose_holder("llm", PROMPT, ()).upstream.id
-        fails = int(chosen[1:]) < grey and self.random.random() < self.shape.failing_part
+        fails = int(chosen[1:]) < grey and self.random.random() < self.shape.failure_ratio
         health = self.fleets[number].health
         (health.note_failure if fails else health.note_answer)(chosen)
         return fails
@@ -83,15 +83,15 @@
     def _tell(self):
         for fleet in self.fleets:
             self.giver.receive(OutcomeEntry(*counts) for counts in fleet.outcomes.drain())
-        parts = self.giver.ratios()
+        ratios = self.giver.ratios()
         for fleet in self.fleets:
-            fleet.outcomes.set_failure_ratios(parts)
+            fleet.outcomes.set_failure_ratios(ratios)
 
 
 SHAPES = [
-    Shape(instances=60, upstreams=20, grey=3, failing_part=0.5, per_second=120),
-    Shape(instances=120, upstreams=12, grey=2, failing_part=0.9, per_second=160),
-    Shape(instances=6, upstreams=5, grey=1, failing_part=0.5, per_second=24),
+    Shape(instances=60, upstreams=20, grey=3, failure_ratio=0.5, per_second=120),
+    Shape(instances=120, upstreams=12, grey=2, failure_ratio=0.9, per_second=160),
+    Shape(instances=6, upstreams=5, grey=1, failure_ratio=0.5, per_second=24),
 ]
 
 
@@ -100,14 +100,14 @@
     # Some model workers fail half of their requests within milliseconds while their
     # health checks are good. Every instance learned it by failing its own callers, and
     # forgot it in seconds: one request in ten ended in a failure while it lasted.
-    parts = []
+    ratios = []
     for seed in range(PLAYS):
         deployment = Deployment(shape, clock, seed)
         assert deployment.play(2.0, grey=0) == 0
         deployment.play(1.0, grey=shape.grey)
-        parts.append(deployment.play(5.0, grey=shape.grey))
-    evenly = shape.grey / shape.upstreams * shape.failing_part
-    assert sum(parts) / PLAYS < 0.4 * evenly
+        ratios.append(deployment.play(5.0, grey=shape.grey))
+    evenly = shape.grey / shape.upstreams * shape.failure_ratio
+    assert sum(ratios) / PLAYS < 0.4 * evenly
 
 
 def test_an_upstream_that_has_recovered_is_used_again(clock):
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
@@ -13,14 +13,14 @@
 DRAWN = 150
 
 
-def drawn_histories(instances, giver_ends_at, lost_parts=(0.0, 0.05, 0.2)):
+def drawn_histories(instances, giver_ends_at, lost_fractions=(0.0, 0.05, 0.2)):
     draw = random.Random(7)
     return [
         History(
             instances=draw.choice(instances),
             rate=draw.choice([0.0, 0.4, 1.0, 2.5, 10.0]),
             asked=draw.choice([1.0, 4.0, 12.0]),
-            lost_part=draw.choice(lost_parts),
+            lost_part=draw.choice(lost_fractions),
             giver_ends_at=draw.choice(giver_ends_at),
             next_giver_after=draw.choice([0.25, 1.0, 5.0]),
             seed=draw.randrange(10_000),
