--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -24,7 +24,7 @@
 # take the calmest upstream of all. Among more of them each compares fewer, drawn anew for
 # each request, and two at least: what all take for the calmest has a queue at once.
 FEW_INSTANCES = 6
-LEAST_COMPARED = 2
+MIN_COMPARED = 2
 # An upstream that has just failed is chosen only where no other is left.
 AVOIDED_MS = 100_000.0
 # What a request that its upstream fails costs: its caller is answered late by another
@@ -156,7 +156,7 @@
         """
         sound = [one for one in candidates if not self._health.is_avoided(one.upstream.id)]
         among = sound or candidates
-        count = max(LEAST_COMPARED, round(len(among) * FEW_INSTANCES / self._instances()))
+        count = max(MIN_COMPARED, round(len(among) * FEW_INSTANCES / self._instances()))
         if count >= len(among):
             return among
         drawn = self._random.sample(among, count)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/latency_factors.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/latency_factors.py
@@ -4,10 +4,10 @@
 
 # A new figure counts for a quarter: some ten first events tell a slow upstream.
 NEWEST_FRACTION = 0.25
-LEAST_FACTOR = 0.3
-MOST_FACTOR = 6.0
+MIN_FACTOR = 0.3
+MAX_FACTOR = 6.0
 # Below this the time on the way and the batch's step say more than the upstream.
-LEAST_EXPECTED_MS = 100.0
+MIN_EXPECTED_MS = 100.0
 
 
 class LatencyFactors:
@@ -27,13 +27,13 @@
 
     def observe(self, upstream_id: str, expected_ms: float, real_ms: float) -> None:
         """Note a first event that was expected, at factor 1, after ``expected_ms``."""
-        if expected_ms < LEAST_EXPECTED_MS and real_ms < LEAST_EXPECTED_MS:
+        if expected_ms < MIN_EXPECTED_MS and real_ms < MIN_EXPECTED_MS:
             return
-        seen = real_ms / max(expected_ms, LEAST_EXPECTED_MS)
+        seen = real_ms / max(expected_ms, MIN_EXPECTED_MS)
         with self._lock:
             before = self._factors.get(upstream_id, 1.0)
             after = before + (seen - before) * NEWEST_FRACTION
-            self._factors[upstream_id] = min(MOST_FACTOR, max(LEAST_FACTOR, after))
+            self._factors[upstream_id] = min(MAX_FACTOR, max(MIN_FACTOR, after))
 
     def forget(self, upstream_ids: set[str]) -> None:
         """Drop upstreams that are gone."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
@@ -33,12 +33,12 @@
         # Whether the giver's news stand in for a read, by the time of the last one.
         self._replaces_read = replaces_read
         self._leader_silent = leader_silent
-        self._least_seconds = leave_seconds * OWN_READ_FRACTION
+        self._min_seconds = leave_seconds * OWN_READ_FRACTION
 
     def not_due(self, last_read_at: float) -> bool:
         """Return whether no read is due, by the monotonic time of the last one."""
         since = time.monotonic() - last_read_at
         if self._is_leader():
             return since < READ_FOR_ALL_SECONDS
-        soon = since < self._least_seconds
+        soon = since < self._min_seconds
         return soon or (self._replaces_read(last_read_at) and not self._leader_silent())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
@@ -24,7 +24,7 @@
 # this one's instances not ready: it asks once a second, and counts two misses.
 OUT_OF_ROTATION_SECONDS = 2.2
 # Among many upstreams a round asks some, the next round the next ones.
-MOST_EACH_ROUND = 12
+MAX_REQUESTS_PER_ROUND = 12
 
 
 class Report(Protocol):
@@ -90,7 +90,7 @@
         self._list_seconds = leave_seconds * FRESH_LIST_FRACTION
         # Only while it asks: its threads would rest for hours between two cuts.
         self._pool: ThreadPoolExecutor | None = None
-        self._offset = itertools.count(step=MOST_EACH_ROUND)
+        self._offset = itertools.count(step=MAX_REQUESTS_PER_ROUND)
         self._domain_cut = False
         self._domain_cut_at = 0.0
 
@@ -133,7 +133,7 @@
             self._end_pool()
             return
         if self._pool is None:
-            self._pool = ThreadPoolExecutor(MOST_EACH_ROUND, thread_name_prefix="own-reports")
+            self._pool = ThreadPoolExecutor(MAX_REQUESTS_PER_ROUND, thread_name_prefix="own-reports")
         asked = [one for one in self._round() if self._may_ask(one.id)]
         answers = [*map(_Answer, asked, self._pool.map(self._ask, asked))]
         now = time.monotonic()
@@ -149,10 +149,10 @@
 
     def _round(self) -> list[Upstream]:
         known = [u for u in self._directory.all() if self._runs_models(u.service)]
-        if len(known) <= MOST_EACH_ROUND:
+        if len(known) <= MAX_REQUESTS_PER_ROUND:
             return known
         start = next(self._offset) % len(known)
-        return [*known[start:], *known[:start]][:MOST_EACH_ROUND]
+        return [*known[start:], *known[:start]][:MAX_REQUESTS_PER_ROUND]
 
     def _only_own_domain(self, answers: list[_Answer]) -> bool:
         own: list[bool] = []
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/prefix_memory.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/prefix_memory.py
@@ -8,7 +8,7 @@
 
 # Parts that an upstream keeps are a few thousand at most: its memory holds about
 # 140,000 tokens and shared parts have some hundreds.
-MOST_CHAINS_EACH = 400
+MAX_CHAINS_PER_UPSTREAM = 400
 
 
 class PrefixMemory:
@@ -25,7 +25,7 @@
             for chain, _ in _chains(prompt):
                 chains[chain] = None
                 chains.move_to_end(chain)
-            while len(chains) > MOST_CHAINS_EACH:
+            while len(chains) > MAX_CHAINS_PER_UPSTREAM:
                 chains.popitem(last=False)
 
     def kept_tokens(self, upstream_id: str, prompt: Prompt) -> int:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limit_messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limit_messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from redwingscale_daemon._internal.fleet.send_permits import MOST_DELAY_SECONDS
+from redwingscale_daemon._internal.fleet.send_permits import MAX_DELAY_SECONDS
 
 
 class RateLimitEntry(msgspec.Struct, array_like=True):
@@ -37,5 +37,5 @@
 
     def delayed(self, seconds: float) -> "PermitEntry":
         """Return the entry as it is after ``seconds`` on its way."""
-        permits = self.permits_by_instance if seconds <= MOST_DELAY_SECONDS else {}
+        permits = self.permits_by_instance if seconds <= MAX_DELAY_SECONDS else {}
         return msgspec.structs.replace(self, age=self.age + seconds, permits_by_instance=permits)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
@@ -22,7 +22,7 @@
 CHANGE_FRESH_SECONDS = 2.0
 # An upstream that takes less is asked this often all the same: only answers tell that
 # its limit has ended.
-LEAST_PER_SECOND = 0.25
+MIN_PER_SECOND = 0.25
 
 
 class RateLimit(NamedTuple):
@@ -205,9 +205,9 @@
                 self._permits.forget(key)
 
     def _wait_seconds(self, upstream_id: str) -> float:
-        per_second = self.per_second(upstream_id) or LEAST_PER_SECOND
+        per_second = self.per_second(upstream_id) or MIN_PER_SECOND
         ahead = max(self._all_waiting.get(upstream_id, 0), len(self._waiting_since[upstream_id]))
-        return ahead / max(per_second, LEAST_PER_SECOND)
+        return ahead / max(per_second, MIN_PER_SECOND)
 
     def _entry(self, upstream_id: str, rate: RateLimit, now: float) -> RateLimitEntry:
         waiting_since = self._waiting_since[upstream_id]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/send_permits.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/send_permits.py
@@ -7,7 +7,7 @@
 # same ones.
 PERMIT_SECONDS = 1.0
 # Permits that spend longer on their way are void: another order giver waits no longer.
-MOST_DELAY_SECONDS = 0.5
+MAX_DELAY_SECONDS = 0.5
 # Without news of a limit for this long, the order giver has gone or is not heard.
 FRESH_SECONDS = 1.5
 # Of a limit, what all instances use that hear no order giver.
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route.py
@@ -6,9 +6,9 @@
 
 # Callers leave a stream after a pause of two seconds, four times the latency target
 # or eight times the longest pause in time, whichever is longest.
-LEAST_PATIENCE_SECONDS = 2.0
-TARGETS_OF_PATIENCE = 4
-GAPS_OF_PATIENCE = 8
+MIN_EVENT_WAIT_SECONDS = 2.0
+LATENCY_TARGETS_WAITED = 4
+LONGEST_GAPS_WAITED = 8
 
 
 class WeightedService(NamedTuple):
@@ -43,12 +43,12 @@
     @property
     def first_event_seconds(self) -> float:
         """How long callers of a stream wait for an event before they leave."""
-        patience = max(
-            LEAST_PATIENCE_SECONDS,
-            self.latency_target_seconds * TARGETS_OF_PATIENCE,
-            self.longest_gap_seconds * GAPS_OF_PATIENCE,
+        max_wait = max(
+            MIN_EVENT_WAIT_SECONDS,
+            self.latency_target_seconds * LATENCY_TARGETS_WAITED,
+            self.longest_gap_seconds * LONGEST_GAPS_WAITED,
         )
-        return min(patience, self.time_limit_seconds)
+        return min(max_wait, self.time_limit_seconds)
 
     @property
     def repeatable(self) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/urgency.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/urgency.py
@@ -3,12 +3,12 @@
 from typing import NamedTuple
 
 # Each rank doubles the weight, as it does for callers' shares of a full instance.
-STEP = 2.0
+WEIGHT_STEP = 2.0
 # Requests of this rank count once.
-USUAL_PRIORITY = 1
-LEAST_URGENT = 3
+DEFAULT_PRIORITY = 1
+LOWEST_PRIORITY = 3
 # The least urgent route of a workspace counts more than the most urgent one of the next.
-WORKSPACE_STEP = STEP ** (LEAST_URGENT + 1)
+WORKSPACE_WEIGHT_STEP = WEIGHT_STEP ** (LOWEST_PRIORITY + 1)
 
 
 class Urgency(NamedTuple):
@@ -24,8 +24,8 @@
     @property
     def weight(self) -> float:
         """How much more a request counts than a less urgent one."""
-        of_route = STEP ** (USUAL_PRIORITY - min(self.route, LEAST_URGENT))
-        return float(of_route / WORKSPACE_STEP**self.workspace)
+        of_route = WEIGHT_STEP ** (DEFAULT_PRIORITY - min(self.route, LOWEST_PRIORITY))
+        return float(of_route / WORKSPACE_WEIGHT_STEP**self.workspace)
 
     def level(self, levels: int, *, late: bool) -> int:
         """Return which of ``levels`` the request has, 0 the first.
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/permit_issuer.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/permit_issuer.py
@@ -8,8 +8,8 @@
 from redwingscale_common.utils.logs import log_event
 
 from redwingscale_daemon._internal.fleet.rate_limit_messages import PermitEntry, RateLimitEntry
-from redwingscale_daemon._internal.fleet.rate_limits import LEAST_PER_SECOND
-from redwingscale_daemon._internal.fleet.send_permits import MOST_DELAY_SECONDS, PERMIT_SECONDS
+from redwingscale_daemon._internal.fleet.rate_limits import MIN_PER_SECOND
+from redwingscale_daemon._internal.fleet.send_permits import MAX_DELAY_SECONDS, PERMIT_SECONDS
 
 # What an instance has told counts for this long without further news of it.
 TOLD_SECONDS = 1.0
@@ -19,7 +19,7 @@
 # Requests just before a limit was advertised count in its first window as well.
 FIRST_LEVEL = -1.5
 # Another order giver may have issued permits until a moment before this one begins.
-QUIET_SECONDS = PERMIT_SECONDS + MOST_DELAY_SECONDS
+QUIET_SECONDS = PERMIT_SECONDS + MAX_DELAY_SECONDS
 
 
 class _Told(NamedTuple):
@@ -170,7 +170,7 @@
 
     def _refill(self, bucket: _Bucket) -> float:
         now = self._clock()
-        per_second = max(bucket.per_second or 0.0, LEAST_PER_SECOND)
+        per_second = max(bucket.per_second or 0.0, MIN_PER_SECOND)
         since = max(bucket.at, self._begun_at + QUIET_SECONDS)
         most = max(MOST_SAVED, per_second * SAVED_SECONDS)
         bucket.level = min(most, bucket.level + max(0.0, now - since) * per_second)
