--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.fleet.chooser import Chooser
 from redwingscale_daemon._internal.fleet.fleet import Fleet, new_fleet
 from redwingscale_daemon._internal.fleet.list_follower import ListFollower
-from redwingscale_daemon._internal.fleet.list_reads import LOOK_SECONDS, ListReads
+from redwingscale_daemon._internal.fleet.list_reads import READ_CHECK_SECONDS, ListReads
 from redwingscale_daemon._internal.fleet.own_reports import OwnReports
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 from redwingscale_daemon._internal.forwarding.connection_pool import ConnectionPool
@@ -129,7 +129,7 @@
     )
     return (
         Periodic("configuration", 0.0, route_follower.step),
-        Periodic("upstreams", LOOK_SECONDS, list_follower.step),
+        Periodic("upstreams", READ_CHECK_SECONDS, list_follower.step),
     )
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -14,23 +14,23 @@
 # What each running request adds to the time to a first event.
 RUNNING_REQUEST_MS = 6.0
 # A request beyond the batch waits for another one's end.
-BEYOND_BATCH_MS = 200.0
+BATCH_FULL_COST_MS = 200.0
 # A hop to another failure domain and back takes 3 ms; its bytes are paid for as well.
-OTHER_DOMAIN_MS = 8.0
+OTHER_DOMAIN_COST_MS = 8.0
 # Instances see each other's load a quarter of a second late: without some noise
 # all of them would send to the same upstream until then.
 NOISE_MS = 6.0
 # So few instances see most of the load at once, as they send it themselves, and each may
 # take the calmest upstream of all. Among more of them each compares fewer, drawn anew for
 # each request, and two at least: what all take for the calmest has a queue at once.
-FEW_INSTANCES = 6
+COMPARE_ALL_INSTANCES = 6
 MIN_COMPARED = 2
 # An upstream that has just failed is chosen only where no other is left.
-AVOIDED_MS = 100_000.0
+AVOIDED_COST_MS = 100_000.0
 # What a request that its upstream fails costs: its caller is answered late by another
 # one, or with the failure where no repeat is left. An upstream that fails half of its
 # requests is chosen before one with a second of others' work.
-FAILURE_MS = 2000.0
+FAILURE_COST_MS = 2000.0
 # A plain service's request takes some 20 ms, and each upstream runs a few at once.
 PLAIN_REQUEST_MS = 10.0
 
@@ -60,7 +60,7 @@
         self,
         failure_domain: str,
         fleet: Fleet,
-        instances: Callable[[], int] = lambda: FEW_INSTANCES,
+        instances: Callable[[], int] = lambda: COMPARE_ALL_INSTANCES,
     ) -> None:
         self._failure_domain = failure_domain
         self._instances = instances
@@ -132,7 +132,7 @@
             kept = _shared_tokens(prompt) // 2
         own = max(0, prompt.tokens_in - kept) / PROMPT_TOKENS_PER_MS
         others = load.prompt_tokens / PROMPT_TOKENS_PER_MS + load.requests * RUNNING_REQUEST_MS
-        beyond = max(0, load.requests + 1 - upstream.slots) * BEYOND_BATCH_MS
+        beyond = max(0, load.requests + 1 - upstream.slots) * BATCH_FULL_COST_MS
         factor = self._latency_factors.factor(upstream.id)
         queue = others * factor + beyond
         expected = queue + own * factor
@@ -156,7 +156,7 @@
         """
         sound = [one for one in candidates if not self._health.is_avoided(one.upstream.id)]
         among = sound or candidates
-        count = max(MIN_COMPARED, round(len(among) * FEW_INSTANCES / self._instances()))
+        count = max(MIN_COMPARED, round(len(among) * COMPARE_ALL_INSTANCES / self._instances()))
         if count >= len(among):
             return among
         drawn = self._random.sample(among, count)
@@ -166,10 +166,10 @@
     def _extra_ms(self, upstream: Upstream) -> float:
         extra = self._random.random() * NOISE_MS
         if upstream.failure_domain != self._failure_domain:
-            extra += OTHER_DOMAIN_MS
-        extra += self._health.failure_ratio(upstream.id) * FAILURE_MS
+            extra += OTHER_DOMAIN_COST_MS
+        extra += self._health.failure_ratio(upstream.id) * FAILURE_COST_MS
         if self._health.is_avoided(upstream.id):
-            extra += AVOIDED_MS
+            extra += AVOIDED_COST_MS
         return extra
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/leaving_upstreams.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/leaving_upstreams.py
@@ -6,7 +6,7 @@
 
 # An entry that lapses while the store is away may come back as it was written before the
 # upstream began to leave.
-REMEMBERED_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 
 
 class _Noted(NamedTuple):
@@ -40,7 +40,7 @@
             for key, one in self._noted_by_id.items()
         }
         self._noted_by_id = {
-            key: one for key, one in noted.items() if now - one.listed_at < REMEMBERED_SECONDS
+            key: one for key, one in noted.items() if now - one.listed_at < RETENTION_SECONDS
         }
 
     def __contains__(self, upstream_id: str) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_follower.py
@@ -15,7 +15,7 @@
 
 # Entries that lapse while the store is away are written again within two seconds
 # of its return: until then a missing one says nothing.
-LAPSED_BACK_SECONDS = 2.0
+LAPSED_RETURN_SECONDS = 2.0
 
 # From the name of the entry, its row version and its value.
 Decode = Callable[[str, int, bytes], Upstream]
@@ -83,9 +83,9 @@
         missing = {one.id: one for one in self._directory.all() if one.id not in listed_ids}
         # A read that failed longer ago was followed by news in place of reads: what went
         # since then has been told.
-        if self._state.lost and now - self._state.failed_at < LAPSED_BACK_SECONDS:
+        if self._state.lost and now - self._state.failed_at < LAPSED_RETURN_SECONDS:
             self._returned_at = now
-        if now - self._returned_at >= LAPSED_BACK_SECONDS:
+        if now - self._returned_at >= LAPSED_RETURN_SECONDS:
             self._missing_since = {}
             return []
         for key in missing.keys() - self._missing_since.keys():
@@ -94,7 +94,7 @@
         kept = [
             one
             for key, one in missing.items()
-            if now - self._missing_since[key] < LAPSED_BACK_SECONDS
+            if now - self._missing_since[key] < LAPSED_RETURN_SECONDS
         ]
         self._missing_since = {one.id: self._missing_since[one.id] for one in kept}
         return kept
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 # How often it is looked whether a read is due.
-LOOK_SECONDS = 0.1
+READ_CHECK_SECONDS = 0.1
 # A read for all, one lost read and the way to the other instances are less than the time
 # after which an upstream that leaves gets no new work.
 READ_FOR_ALL_SECONDS = 0.4
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/outcomes.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/outcomes.py
@@ -6,7 +6,7 @@
 
 # The parts are told four times a second; older ones say nothing of an upstream that may
 # have recovered since.
-TOLD_FRESH_SECONDS = 1.5
+RATIOS_FRESH_SECONDS = 1.5
 
 
 class Outcomes:
@@ -49,6 +49,6 @@
 
     def failure_ratio(self, upstream_id: str) -> float:
         """Return which part of its requests an upstream fails, 0 where nothing is told."""
-        if time.monotonic() - self._told_at > TOLD_FRESH_SECONDS:
+        if time.monotonic() - self._told_at > RATIOS_FRESH_SECONDS:
             return 0.0
         return self._failing.get(upstream_id, 0.0)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
@@ -19,7 +19,7 @@
 # get no more work says enough; own reads come more often.
 FRESH_LIST_FRACTION = 0.6
 # Callers of an instance that is cut off come back through another one at once.
-COME_BACK_SECONDS = 0.05
+CALLER_RETRY_SECONDS = 0.05
 # Those of a whole failure domain reach another one only when the balancer has found
 # this one's instances not ready: it asks once a second, and counts two misses.
 OUT_OF_ROTATION_SECONDS = 2.2
@@ -102,9 +102,9 @@
         then: only where the list can't be read either is waiting here in vain.
         """
         if not self.domain_cut:
-            return COME_BACK_SECONDS if self.without_updates and self._list.lost else None
+            return CALLER_RETRY_SECONDS if self.without_updates and self._list.lost else None
         left = self._domain_cut_at + OUT_OF_ROTATION_SECONDS - time.monotonic()
-        return max(COME_BACK_SECONDS, left)
+        return max(CALLER_RETRY_SECONDS, left)
 
     @property
     def without_updates(self) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
@@ -14,10 +14,10 @@
 from redwingscale_daemon._internal.utils.fading_rate import FadingRate
 
 # The end of a limit is told for this long; who has not heard it learns it by an answer.
-ENDED_SECONDS = 30.0
+LIFTED_ENTRY_SECONDS = 30.0
 # Requests that could use an upstream are told for this long after they came.
 WANTED_SECONDS = 1.0
-USED_HALF_SECONDS = 1.0
+USED_HALF_LIFE_SECONDS = 1.0
 # What an answer says is told for this long: a message may be lost.
 CHANGE_FRESH_SECONDS = 2.0
 # An upstream that takes less is asked this often all the same: only answers tell that
@@ -65,7 +65,7 @@
         self._wanted_at: dict[str, float] = {}
         # When each began to wait, by upstream.
         self._waiting_since: dict[str, list[float]] = defaultdict(list)
-        self._used: dict[str, FadingRate] = defaultdict(lambda: FadingRate(USED_HALF_SECONDS))
+        self._used: dict[str, FadingRate] = defaultdict(lambda: FadingRate(USED_HALF_LIFE_SECONDS))
         # Over all instances, as told by the order giver.
         self._all_waiting: dict[str, int] = {}
 
@@ -162,7 +162,7 @@
             entries = [
                 (rate, self._entry(key, rate, now))
                 for key, rate in self._by_id.items()
-                if rate.per_second is not None or now - rate.seen_at < ENDED_SECONDS
+                if rate.per_second is not None or now - rate.seen_at < LIFTED_ENTRY_SECONDS
             ]
         return [
             entry
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_follower.py
@@ -20,7 +20,7 @@
 # The same for the one that reads for all: its word reaches them later than its reads.
 WAIT_FRACTION_FOR_ALL = 0.25
 # How often an instance that relies on the order giver's news looks whether they come.
-LOOK_SECONDS = 0.25
+VERSION_CHECK_SECONDS = 0.25
 
 Decode = Callable[[bytes], RouteTable]
 
@@ -99,7 +99,7 @@
 
     def _newer_told(self) -> bool:
         table = self._current.get()
-        seconds = min(LOOK_SECONDS, self._versions.current_for)
+        seconds = min(VERSION_CHECK_SECONDS, self._versions.current_for)
         if table is None or not self._versions.wait_for_newer(table.version, seconds):
             return False
         # The whole row: a waiting read could be answered by a connection gone silent.
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_leaving.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_leaving.py
@@ -4,7 +4,7 @@
 from redwingscale_daemon._internal.fleet.backpressure import Backpressure
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.leaving_upstreams import (
-    REMEMBERED_SECONDS,
+    RETENTION_SECONDS,
     LeavingUpstreams,
 )
 from redwingscale_daemon._internal.fleet.upstream import Upstream
@@ -73,9 +73,9 @@
     now = [0.0]
     leaving = LeavingUpstreams(lambda: now[0])
     assert leaving.note(["a"]) == {"a"}
-    now[0] = REMEMBERED_SECONDS - 1
+    now[0] = RETENTION_SECONDS - 1
     leaving.follow(["a"])
-    now[0] += REMEMBERED_SECONDS - 1
+    now[0] += RETENTION_SECONDS - 1
     leaving.follow([])
     assert "a" in leaving
     now[0] += 1
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_leaving_in_time.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_leaving_in_time.py
@@ -6,7 +6,8 @@
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.list_follower import ListFollower
-from redwingscale_daemon._internal.fleet.list_reads import LOOK_SECONDS, ListReads
+from redwingscale_daemon._internal.fleet.list_update_tracker import ListUpdateTracker
+from redwingscale_daemon._internal.fleet.list_reads import READ_CHECK_SECONDS, ListReads
 from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.list_update_tracker import ListUpdateTracker
 from redwingscale_daemon._internal.fleet.own_reports import SILENT_SECONDS
@@ -86,12 +87,12 @@
     for _ in range(STEPS):
         follower.step()
         hear()
-        clock.sleep(LOOK_SECONDS)
-    clock.sleep(LOOK_SECONDS * phase)
+        clock.sleep(READ_CHECK_SECONDS)
+    clock.sleep(READ_CHECK_SECONDS * phase)
     hear()
-    clock.sleep(LOOK_SECONDS * (1 - phase))
+    clock.sleep(READ_CHECK_SECONDS * (1 - phase))
     confirmed_at, store.leaving, store.lost = heard_at[0], True, 1
     while directory.usable("llm"):
         follower.step()
-        clock.sleep(LOOK_SECONDS)
-    assert clock.now - LOOK_SECONDS - confirmed_at <= leave_seconds
+        clock.sleep(READ_CHECK_SECONDS)
+    assert clock.now - READ_CHECK_SECONDS - confirmed_at <= leave_seconds
