--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What this instance knows about upstreams: who they are, what they hold, how loaded they are."""
+"""State of the upstreams as this instance knows it: list, residency, load, health, limits."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/backpressure.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/backpressure.py
@@ -1,14 +1,14 @@
-"""What an upstream says of itself in one answer."""
+"""Backpressure that an upstream signals in one answer."""
 
 from typing import NamedTuple
 
 
 class Backpressure(NamedTuple):
-    """Read from the head of an answer, whatever was asked.
+    """Read from the head of any answer, independent of the request.
 
-    ``per_second`` requests are taken of all instances together, None for any rate. A
-    ``leaving`` upstream takes no new work. One that has rejected a request may want none
-    from this instance for ``retry_after_seconds``, None where it names no time.
+    ``per_second`` is the rate limit for all instances together, None for no limit. A
+    ``leaving`` upstream takes no new work. An upstream that rejected a request may accept
+    no other from this instance for ``retry_after_seconds``, None if it names no time.
     """
 
     per_second: float | None = None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/backpressure_tracker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/backpressure_tracker.py
@@ -1,4 +1,4 @@
-"""Takes what answers say of their upstreams to where decisions look for it."""
+"""Stores the backpressure signalled in answers where sending decisions read it."""
 
 from typing import NamedTuple
 
@@ -11,11 +11,11 @@
 
 
 class BackpressureState(NamedTuple):
-    """What one upstream has said of itself so far.
+    """Backpressure of one upstream.
 
     ``per_second`` is its rate limit, ``leaving_seconds`` the time since an answer or the
-    list said that it leaves, both None where none did; ``retry_in`` the seconds until it
-    may be asked again.
+    list first said that it is leaving, both None if neither did. ``retry_in`` is the
+    number of seconds until it may be sent requests again.
     """
 
     per_second: float | None
@@ -24,10 +24,10 @@
 
 
 class BackpressureTracker:
-    """One place for all answers: to callers' requests, own reports and orders.
+    """Takes backpressure from all answers: to callers' requests, own reports and orders.
 
-    Notices are kept by upstream id, hence by its start: what a process said before it
-    started again says nothing of the new one.
+    State is keyed by upstream id, which changes with each start of the process:
+    backpressure from before a restart does not apply to the new process.
     """
 
     def __init__(
@@ -44,10 +44,11 @@
         source: str,
         sent_at: float | None = None,
     ) -> None:
-        """Take the notice of an answer of ``upstream_id``; what is not listed says nothing.
+        """Apply the backpressure of an answer of ``upstream_id``; ignored if it is not listed.
 
-        ``sent_at`` is when the request was sent, monotonic, of an answer that is surely the
-        upstream's own: that it names no limit then ends the known one.
+        ``sent_at`` is the monotonic time when the request was sent. Pass it only if the
+        answer surely came from the upstream itself: an answer without a limit then ends
+        the stored limit.
         """
         if not self._directory.lists(upstream_id):
             return
@@ -58,7 +59,7 @@
             self._take_retry_after(upstream_id, backpressure.retry_after_seconds, source)
 
     def state(self, upstream_id: str) -> BackpressureState:
-        """Return what is known of ``upstream_id``."""
+        """Return the current backpressure of ``upstream_id``."""
         return BackpressureState(
             self._rates.per_second(upstream_id),
             self._directory.leaving_seconds(upstream_id),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/changes.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/changes.py
@@ -4,7 +4,7 @@
 
 
 class Changes:
-    """Tells waiting requests that something they may wait for has changed."""
+    """Wakes waiting requests when something that they may wait for has changed."""
 
     def __init__(self) -> None:
         self._condition = threading.Condition()
@@ -12,11 +12,11 @@
 
     @property
     def count(self) -> int:
-        """How many changes there were; pass it to `wait`."""
+        """Number of changes so far; pass it to `wait`."""
         return self._count
 
     def notify(self) -> None:
-        """Wake everyone who waits."""
+        """Count a change and wake all waiting threads."""
         with self._condition:
             self._count += 1
             self._condition.notify_all()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -9,39 +9,40 @@
 from redwingscale_daemon._internal.fleet.prompt import Prompt
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 
-# Prompt tokens that an engine reads in a millisecond, without other work.
+# Prompt tokens that an engine processes in a millisecond, without other work.
 PROMPT_TOKENS_PER_MS = 24.0
-# What each running request adds to the time to a first event.
+# Time that each running request adds to the time to a first event.
 RUNNING_REQUEST_MS = 6.0
-# A request beyond the batch waits for another one's end.
+# A request that finds the batch full waits for another one to end.
 BATCH_FULL_COST_MS = 200.0
-# A hop to another failure domain and back takes 3 ms; its bytes are paid for as well.
+# A round trip to another failure domain takes 3 ms, and its traffic is charged for.
 OTHER_DOMAIN_COST_MS = 8.0
-# Instances see each other's load a quarter of a second late: without some noise
-# all of them would send to the same upstream until then.
+# Instances see each other's load a quarter of a second late: without noise all of them
+# would send to the same upstream until then.
 NOISE_MS = 6.0
-# So few instances see most of the load at once, as they send it themselves, and each may
-# take the calmest upstream of all. Among more of them each compares fewer, drawn anew for
-# each request, and two at least: what all take for the calmest has a queue at once.
+# Up to this many instances see most of the load at once, since they send it themselves,
+# and each compares all upstreams. With more instances, each compares a smaller random
+# sample for each request, of at least two: if all instances chose the same least loaded
+# upstream, a queue would build up there at once.
 COMPARE_ALL_INSTANCES = 6
 MIN_COMPARED = 2
-# An upstream that has just failed is chosen only where no other is left.
+# An upstream that has just failed is chosen only if no other is left.
 AVOIDED_COST_MS = 100_000.0
-# What a request that its upstream fails costs: its caller is answered late by another
-# one, or with the failure where no repeat is left. An upstream that fails half of its
-# requests is chosen before one with a second of others' work.
+# Cost of a request that its upstream fails: the caller gets a late answer from another
+# upstream, or the failure if no retry is left. An upstream that fails half of its requests
+# is still chosen before one with a queue of more than a second.
 FAILURE_COST_MS = 2000.0
-# A plain service's request takes some 20 ms, and each upstream runs a few at once.
+# A request to a plain service takes about 20 ms, and each upstream runs a few at once.
 PLAIN_REQUEST_MS = 10.0
 
 
 class Candidate(NamedTuple):
-    """An upstream and what a request there is expected to cost.
+    """An upstream and the expected cost of a request there.
 
-    ``first_event_ms`` is the expected time to the first event without what the
-    upstream's pace adds; ``expected_ms`` is with it, and ``queue_ms`` the part of
-    it that is others' work. ``kept_tokens`` of the prompt need not be read there.
-    ``among`` tells out of how many it was chosen.
+    ``first_event_ms`` is the expected time to the first event at latency factor 1,
+    ``expected_ms`` the same with the upstream's latency factor, and ``queue_ms`` the part
+    of it that is spent on other requests. ``kept_tokens`` tokens of the prompt are cached
+    at the upstream. ``among`` is the number of candidates that it was chosen from.
     """
 
     cost_ms: float
@@ -54,7 +55,7 @@
 
 
 class Chooser:
-    """Weighs load, kept prompt parts, failure domain and recent failures."""
+    """Chooses the cheapest upstream by load, cached prompt, failure domain and failures."""
 
     def __init__(
         self,
@@ -70,11 +71,11 @@
         self._health = fleet.health
         self._latency_factors = fleet.latency_factors
         self._gate = fleet.gate
-        # Not for secrets: it only spreads requests.
+        # Not for secrets, only to spread requests.
         self._random = random.Random()
 
     def choose_plain(self, service: str, tried: Collection[str]) -> Candidate | None:
-        """Return the cheapest upstream of a plain service that isn't in ``tried``."""
+        """Return the cheapest upstream of a plain service that is not in ``tried``."""
         upstreams = self._ready(self._of_plain(service, tried))
         return self._cheapest([Candidate(self._plain_cost(u), u) for u in upstreams])
 
@@ -86,9 +87,10 @@
         *,
         compare_all: bool = False,
     ) -> Candidate | None:
-        """Return the cheapest holder of the prompt's unit that isn't in ``tried``.
+        """Return the cheapest holder of the prompt's unit that is not in ``tried``.
 
-        Among many instances some holders are compared, with ``compare_all`` every one.
+        With many instances only a sample of the holders is compared, unless
+        ``compare_all`` is set.
         """
         holders = self._ready(self._holders(service, prompt, tried))
         home = _home(prompt, holders)
@@ -96,11 +98,11 @@
         return self._cheapest(candidates, compare_all=compare_all)
 
     def throttled_plain(self, service: str, tried: Collection[str]) -> list[str]:
-        """Return the ids of those that `choose_plain` leaves out as they take no request now."""
+        """Return the ids that `choose_plain` skips because of rate limits or retry times."""
         return self._throttled(self._of_plain(service, tried)) if self._gate.known else []
 
     def throttled_holders(self, service: str, prompt: Prompt, tried: Collection[str]) -> list[str]:
-        """Return the ids of those that `choose_holder` leaves out as they take no request now."""
+        """Return the ids that `choose_holder` skips because of rate limits or retry times."""
         return self._throttled(self._holders(service, prompt, tried)) if self._gate.known else []
 
     def _of_plain(self, service: str, tried: Collection[str]) -> list[Upstream]:
@@ -112,7 +114,7 @@
         return [u for u in holders if u.id not in tried and not self._health.is_unreachable(u.id)]
 
     def _ready(self, upstreams: list[Upstream]) -> list[Upstream]:
-        """Return those that take a request now, by their rate limits and retry times."""
+        """Return the upstreams whose rate limits and retry times allow a request now."""
         if not self._gate.known:
             return upstreams
         return [u for u in upstreams if self._gate.may_send(u.id)]
@@ -149,19 +151,19 @@
         return best._replace(among=len(candidates)) if best else None
 
     def _compared(self, candidates: list[Candidate]) -> list[Candidate]:
-        """Return the candidates to compare: a drawn part of them among many instances.
+        """Return the candidates to compare: a random sample if there are many instances.
 
-        The one that keeps most of the prompt is always among them, and one that has
-        just failed only where no other is left.
+        The candidate with most of the prompt cached is always included. Candidates that
+        have just failed are included only if no other is left.
         """
-        sound = [one for one in candidates if not self._health.is_avoided(one.upstream.id)]
-        among = sound or candidates
+        healthy = [one for one in candidates if not self._health.is_avoided(one.upstream.id)]
+        among = healthy or candidates
         count = max(MIN_COMPARED, round(len(among) * COMPARE_ALL_INSTANCES / self._instances()))
         if count >= len(among):
             return among
-        drawn = self._random.sample(among, count)
-        keeps = max(among, key=lambda one: one.kept_tokens)
-        return [*drawn, keeps] if keeps.kept_tokens else drawn
+        sample = self._random.sample(among, count)
+        most_kept = max(among, key=lambda one: one.kept_tokens)
+        return [*sample, most_kept] if most_kept.kept_tokens else sample
 
     def _extra_ms(self, upstream: Upstream) -> float:
         extra = self._random.random() * NOISE_MS
@@ -174,15 +176,15 @@
 
 
 def _shared_tokens(prompt: Prompt) -> int:
-    # The last part is the request's own.
+    # The last part belongs to this request alone.
     return sum(part.tokens for part in prompt.parts[:-1])
 
 
 def _home(prompt: Prompt, holders: list[Upstream]) -> str:
-    """Return the holder that all instances would send this chain of shared parts to.
+    """Return the id of the holder that all instances prefer for this chain of shared parts.
 
-    Each instance knows only what it sent itself; the same hash everywhere brings
-    the requests of one chain to one upstream without a word between them.
+    Each instance knows only which prompts it sent itself. Since all instances compute the
+    same hash, requests of one chain reach one upstream without any message between them.
     """
     shared = "/".join(part.id for part in prompt.parts[:-1])
     if not shared or not holders:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""What an instance knows about upstreams, as one value for wiring."""
+"""All state about upstreams of an instance, as one value for wiring."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 
 
 class Fleet(NamedTuple):
-    """The directory, and what was learned of the upstreams in it."""
+    """The upstream directory and the state that is kept for each upstream."""
 
     directory: UpstreamDirectory
     residency: Residency
@@ -35,7 +35,7 @@
 
 
 def new_fleet(instance: str = "", instances: Callable[[], int] = lambda: 1) -> Fleet:
-    """Return parts of ``instance`` that know nothing yet, and forget what is no longer listed."""
+    """Return an empty fleet for ``instance`` whose parts drop upstreams that are gone."""
     changes, residency, outcomes = Changes(), Residency(), Outcomes()
     directory = UpstreamDirectory(residency, changes)
     load_tracker, health, latency_factors, prefixes = (
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/health.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/health.py
@@ -9,14 +9,12 @@
 
 from redwingscale_daemon._internal.fleet.outcomes import Outcomes
 
-# After a failure an upstream is avoided for this long, doubled by each further
-# one: long enough to send a few requests elsewhere, short enough that a restarted
-# upstream is back within a second.
+# How long an upstream is avoided after a first failure; doubled by each further one. Long
+# enough to send a few requests elsewhere, short enough that a restarted upstream gets
+# requests again within a second.
 FIRST_AVOID_SECONDS = 0.5
 LONGEST_AVOID_SECONDS = 4.0
-
-
-# An upstream that takes no connection is tried again by one request after this.
+# An upstream that accepts no connection is tried again after this time.
 UNREACHABLE_SECONDS = 0.8
 
 
@@ -26,11 +24,11 @@
 
 
 class Health:
-    """Avoids upstreams after a failure, and leaves out those that take no connection.
+    """Tracks which upstreams failed lately and which accept no connection.
 
-    Any sound answer clears an upstream. One that takes no connection is as good
-    as gone until it does: its entry in the list may last for seconds, and after a
-    partition only some of the instances cannot reach it.
+    Any valid answer clears an upstream. One that accepts no connection is not used until
+    it does, although the list may still name it for seconds; after a network partition
+    only some of the instances cannot reach it.
     """
 
     def __init__(self, outcomes: Outcomes) -> None:
@@ -40,7 +38,7 @@
         self._unreachable_until: dict[str, float] = {}
 
     def note_failure(self, upstream_id: str) -> None:
-        """Note a request that the upstream lost, or answered with a failure of its own."""
+        """Note a request that the upstream lost or answered with a failure of its own."""
         self._outcomes.count_failure(upstream_id)
         self._suspect(upstream_id)
 
@@ -53,7 +51,7 @@
             )
 
     def note_unreachable(self, upstream_id: str) -> None:
-        """Note a connection that the upstream didn't take."""
+        """Note a connection that the upstream did not accept."""
         self._suspect(upstream_id)
         with self._lock:
             first = upstream_id not in self._unreachable_until
@@ -62,17 +60,17 @@
             log_event("upstream_unreachable", level="WARNING", upstream=upstream_id)
 
     def note_replaced(self, upstream_id: str) -> None:
-        """Note that another process has the upstream's address.
+        """Note that another process listens at the upstream's address.
 
-        An upstream that has restarted is listed under its former id for some
-        seconds, and each request meant for that is refused.
+        A restarted upstream is listed under its former id for some seconds, and refuses
+        each request that is addressed to that id.
         """
         with self._lock:
             self._unreachable_until[upstream_id] = math.inf
         log_event("upstream_replaced", level="WARNING", upstream=upstream_id)
 
     def note_answer(self, upstream_id: str) -> None:
-        """Note a sound answer."""
+        """Note a valid answer."""
         self._outcomes.count_answer(upstream_id)
         if upstream_id not in self._suspicions:
             return
@@ -83,25 +81,25 @@
             log_event("upstream_reached", upstream=upstream_id)
 
     def failure_ratio(self, upstream_id: str) -> float:
-        """Return which part of its requests an upstream fails, over all instances."""
+        """Return the fraction of its requests that an upstream fails, over all instances."""
         return self._outcomes.failure_ratio(upstream_id)
 
     def is_avoided(self, upstream_id: str) -> bool:
-        """Return whether another upstream is better."""
+        """Return whether other upstreams are preferred because of recent failures."""
         suspicion = self._suspicions.get(upstream_id)
         return suspicion is not None and time.monotonic() < suspicion.until
 
     def is_replaced(self, upstream_id: str) -> bool:
-        """Return whether another process is known to have the upstream's address."""
+        """Return whether another process is known to listen at the upstream's address."""
         return self._unreachable_until.get(upstream_id) == math.inf
 
     def is_unreachable(self, upstream_id: str) -> bool:
-        """Return whether ``upstream_id`` took no connection just now."""
+        """Return whether ``upstream_id`` accepted no connection lately."""
         until = self._unreachable_until.get(upstream_id)
         return until is not None and time.monotonic() < until
 
     def all_unreachable(self) -> list[str]:
-        """Return the upstreams that have taken no connection since the last answer."""
+        """Return the upstreams that have accepted no connection since their last answer."""
         with self._lock:
             return list(self._unreachable_until)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/latency_factors.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/latency_factors.py
@@ -1,20 +1,20 @@
-"""How fast upstreams are, against what their load would suggest."""
+"""How fast upstreams are, relative to the time expected from their load."""
 
 import threading
 
-# A new figure counts for a quarter: some ten first events tell a slow upstream.
+# Weight of a new observation: about ten first events show that an upstream is slow.
 NEWEST_FRACTION = 0.25
 MIN_FACTOR = 0.3
 MAX_FACTOR = 6.0
-# Below this the time on the way and the batch's step say more than the upstream.
+# Shorter times depend on the network and the engine's batch step more than on the upstream.
 MIN_EXPECTED_MS = 100.0
 
 
 class LatencyFactors:
-    """The factor between the first event's expected and real time, by upstream.
+    """Ratio of real to expected time to the first event, by upstream id.
 
-    Models and upstreams differ in speed by three times and more, and an upstream
-    that has turned slow says so nowhere: only its answers tell.
+    Models and upstreams differ in speed by a factor of three and more, and an upstream
+    that has become slow does not report it: only its answers show it.
     """
 
     def __init__(self) -> None:
@@ -26,13 +26,13 @@
         return self._factors.get(upstream_id, 1.0)
 
     def observe(self, upstream_id: str, expected_ms: float, real_ms: float) -> None:
-        """Note a first event that was expected, at factor 1, after ``expected_ms``."""
+        """Note a first event after ``real_ms``; at factor 1 it was due in ``expected_ms``."""
         if expected_ms < MIN_EXPECTED_MS and real_ms < MIN_EXPECTED_MS:
             return
-        seen = real_ms / max(expected_ms, MIN_EXPECTED_MS)
+        factor = real_ms / max(expected_ms, MIN_EXPECTED_MS)
         with self._lock:
             before = self._factors.get(upstream_id, 1.0)
-            after = before + (seen - before) * NEWEST_FRACTION
+            after = before + (factor - before) * NEWEST_FRACTION
             self._factors[upstream_id] = min(MAX_FACTOR, max(MIN_FACTOR, after))
 
     def forget(self, upstream_ids: set[str]) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_digest.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_digest.py
@@ -1,4 +1,4 @@
-"""Whether two copies of the list of upstreams are the same."""
+"""Digest by which two copies of the list of upstreams are compared."""
 
 import hashlib
 from collections.abc import Iterable
@@ -9,15 +9,15 @@
 
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 
-# Two lists that differ have the same digest once in 2^64. The digest of 45 upstreams
-# takes 0.04 to 0.06 ms of processor time, that of 910 takes 0.8 to 1.4 ms.
+# Two different lists have the same digest with a probability of 2^-64. The digest of 45
+# upstreams takes 0.04 to 0.06 ms of processor time, that of 910 takes 0.8 to 1.4 ms.
 _DIGEST_BYTES = 8
 
 
 class Listing(NamedTuple):
-    """What the order giver tells changes of: who an upstream is, where, and whether it leaves.
+    """The fields whose changes the leader announces: identity, address and leaving.
 
-    What upstreams hold changes often and is told elsewhere.
+    Residency changes often and is announced separately.
     """
 
     id: str
@@ -33,11 +33,11 @@
 
 
 def listing(upstream: Upstream) -> Listing:
-    """Return the part of ``upstream`` that counts as the list."""
+    """Return the fields of ``upstream`` that belong to the list."""
     return Listing._make(_fields_of(upstream))
 
 
 def list_digest(upstreams: Iterable[Upstream]) -> int:
-    """Return the same number for the same listings in any order, on every instance."""
+    """Return a digest that is the same on every instance, whatever the order of the list."""
     encoded = msgspec.msgpack.encode(sorted(map(listing, upstreams)))
     return int.from_bytes(hashlib.blake2b(encoded, digest_size=_DIGEST_BYTES).digest())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_follower.py
@@ -1,4 +1,4 @@
-"""Keeps the directory as the store lists the upstreams."""
+"""Keeps the directory up to date with the list of upstreams in the store."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -13,11 +13,11 @@
 from redwingscale_daemon._internal.store.link_state import LinkState
 from redwingscale_daemon._internal.store.rows import RowStore, StoredRow
 
-# Entries that lapse while the store is away are written again within two seconds
-# of its return: until then a missing one says nothing.
+# Entries that lapse during a store outage are written again within two seconds after it:
+# until then a missing entry does not mean that its upstream is gone.
 LAPSED_RETURN_SECONDS = 2.0
 
-# From the name of the entry, its row version and its value.
+# Called with the name of the entry, its row version and its value.
 Decode = Callable[[str, int, bytes], Upstream]
 
 
@@ -38,19 +38,19 @@
         self._decode = decode
         self._directory = directory
         self._state = state
-        # Whether the giver's news stand in for a read, by the time of the last one.
+        # Whether no read is due, by the monotonic time of the last one.
         self._not_due = not_due
         self._retry = Backoff(first_at_once=True)
-        # What was wrong with entries that name no upstream, by their name.
+        # Decoding errors of invalid entries, by the name of the entry.
         self._faults_by_name: dict[str, str] = {}
-        # When the store was back, and since when upstreams that are kept are missing.
-        self._returned_at = float("-inf")
+        # When the store was reached again, and since when the kept upstreams are missing.
+        self._reconnected_at = float("-inf")
         self._missing_since: dict[str, float] = {}
 
     def step(self) -> None:
-        """Read the list once, unless the order giver tells it.
+        """Read the list once if a read is due.
 
-        What is known stays in use while the store is away.
+        The last list stays in use while the store is unavailable.
         """
         if self._not_due(self._state.answered_at) or not self._retry.due:
             return
@@ -66,26 +66,27 @@
         self._forget_faults(row.key.key for row in rows)
         lapsed = self._lapsed(listed, version)
         if self._directory.replace(listed, version, lapsed):
-            # Only now: who is told the age of the list must not find the former one.
+            # Only now: a reader of the list's age must not find the former list.
             self._state.answered()
         else:
             known = self._directory.copy.version
             log_event("list_outdated", level="WARNING", list_version=version, known=known)
 
     def _lapsed(self, listed: list[Upstream], version: int) -> list[Upstream]:
-        """Return known upstreams whose entries may only have lapsed in an outage.
+        """Return known upstreams whose entries may only have lapsed in a store outage.
 
-        Each has its two seconds once: counted from the store's last return only, one that
-        had left was kept for as long as every second read was lost.
+        Each is kept for `LAPSED_RETURN_SECONDS` once. If the time were counted only from
+        the store's last return, an upstream that has left would be kept for as long as
+        every second read is lost.
         """
         now = time.monotonic()
         listed_ids = {upstream.id for upstream in listed}
         missing = {one.id: one for one in self._directory.all() if one.id not in listed_ids}
-        # A read that failed longer ago was followed by news in place of reads: what went
-        # since then has been told.
+        # After a read that failed longer ago, the leader's updates replaced reads and
+        # announced which upstreams left since then.
         if self._state.lost and now - self._state.failed_at < LAPSED_RETURN_SECONDS:
-            self._returned_at = now
-        if now - self._returned_at >= LAPSED_RETURN_SECONDS:
+            self._reconnected_at = now
+        if now - self._reconnected_at >= LAPSED_RETURN_SECONDS:
             self._missing_since = {}
             return []
         for key in missing.keys() - self._missing_since.keys():
@@ -100,10 +101,10 @@
         return kept
 
     def _upstream(self, row: StoredRow) -> Upstream | None:
-        """Return the upstream that an entry names, None where it names none to use.
+        """Return the upstream that an entry describes, None if the entry is invalid.
 
-        Anybody may write to the list: one entry that can't be read says nothing about
-        the others. It is logged once, not at each read.
+        Any process may write to the list, so one entry that can't be decoded does not
+        affect the others. It is logged once, not at each read.
         """
         name = row.key.key
         try:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_update.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_update.py
@@ -1,4 +1,4 @@
-"""What the order giver tells of the list of upstreams."""
+"""The leader's update about the list of upstreams."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class ListUpdate(msgspec.Struct, array_like=True):
-    """What has ``changed`` or ``gone`` in the last seconds.
+    """Upstreams that have ``changed`` or are ``gone`` since the last few seconds.
 
-    The list was read ``age`` seconds ago, as of the rows' ``version``. ``digest`` is that
-    of the whole list: who has missed an earlier change finds that the own copy has
-    another one.
+    The list was read ``age`` seconds ago, at the store's row ``version``. ``digest`` is
+    that of the whole list: an instance that lost an earlier change finds that its own
+    copy has another digest.
     """
 
     changed: list[Upstream]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_update_tracker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_update_tracker.py
@@ -1,4 +1,4 @@
-"""The list of upstreams as the order giver reads and tells it."""
+"""Follows the leader's updates about the list of upstreams."""
 
 import time
 
@@ -7,24 +7,25 @@
 from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 
-# Of the time after which an upstream that leaves gets no new work. The giver reads twice
-# a second and tells within a quarter of one: what is older than this comes from a giver
-# that no longer reads.
+# Fraction of the time after which a leaving upstream gets no new work. The leader reads
+# twice a second and sends updates within a quarter of a second: a list that is older than
+# this comes from a leader that no longer reads.
 CURRENT_FRACTION = 0.6
-# However current the news are, the list is read in full this often: a change that
-# got lost on the way would else stay unknown.
+# However current the updates are, the list is read in full this often, so that no lost
+# change stays unknown for longer.
 FULL_READ_SECONDS = 20.0
 
 
 class ListUpdateTracker:
-    """Applies the giver's changes, and tells whether they can stand in for own reads.
+    """Applies the leader's changes, and decides whether they replace own reads.
 
-    Each instance's own read of the list in each second is most of what a large
-    deployment asks of the store. The giver tells changes, for a few seconds each: an
-    instance that was cut off, or keeps what the list lacks, has another copy than the
-    giver and hears nothing of it. An upstream that had left was sent requests for 20 s,
-    until the next whole read. So the copies themselves are compared, by their digests,
-    not how each has come about; one that differs is read anew within a second.
+    If each instance read the list every second, these reads would be most of the store's
+    load in a large deployment. The leader announces each change for a few seconds only:
+    an instance that was cut off during that time, or keeps upstreams that the list lacks,
+    has another copy than the leader, and would send requests to an upstream that has left
+    until the next full read, up to 20 s. Therefore the copies are compared by their
+    digests, however each came about; an instance whose copy differs reads the list again
+    within a second.
     """
 
     def __init__(self, directory: UpstreamDirectory, leave_seconds: float = 2.0) -> None:
@@ -35,10 +36,10 @@
         self._read_at = float("-inf")
         self._digest: int | None = None
         self._version = -1
-        self._stood_in = False
+        self._replacing = False
 
     def take(self, fence: int, update: ListUpdate) -> None:
-        """Take what the giver with ``fence`` tells."""
+        """Take an update of the leader with ``fence``."""
         now = time.monotonic()
         if fence != self._fence:
             self._fence, self._fence_at = fence, now
@@ -48,28 +49,28 @@
             self._directory.update(update.changed, update.gone, update.version)
 
     def replaces_read(self, last_read_at: float) -> bool:
-        """Return whether an instance that has read the list at ``last_read_at`` need not now."""
+        """Return whether the updates replace a read; the last one was at ``last_read_at``."""
         now = time.monotonic()
         copy = self._directory.copy
-        stands_in = (
+        replaces = (
             now - self._read_at < self._current_seconds
             and self._digest == copy.digest
-            # Else the store answers the giver from an older state than it does here.
+            # Otherwise the store answers the leader from an older state than this instance.
             and self._version >= copy.version
             and last_read_at > self._fence_at
             and now - last_read_at < FULL_READ_SECONDS
         )
-        self._log_source(stands_in, last_read_at)
-        return stands_in
+        self._log_source(replaces, last_read_at)
+        return replaces
 
-    def _log_source(self, stands_in: bool, last_read_at: float) -> None:
-        if stands_in == self._stood_in:
+    def _log_source(self, replaces: bool, last_read_at: float) -> None:
+        if replaces == self._replacing:
             return
-        self._stood_in = stands_in
+        self._replacing = replaces
         now = time.monotonic()
         log_event(
             "list_source",
-            source="order_giver" if stands_in else "own_reads",
+            source="order_giver" if replaces else "own_reads",
             fence=self._fence,
             same_list=self._digest == self._directory.copy.digest,
             news_age=round(now - self._read_at, 3),
