--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/load_tracker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/load_tracker.py
@@ -40,7 +40,7 @@
             self._load_tracker.add(self._upstream_id, 0, -self._prompt_tokens)
             self._prompt_tokens = 0
 
-    def leave(self) -> None:
+    def close(self) -> None:
         """Note the end; a second call does nothing."""
         if self._open:
             self._open = False
@@ -57,7 +57,7 @@
         self._others: dict[str, Load] = {}
         self._others_at = float("-inf")
 
-    def enter(self, upstream_id: str, unit: Unit | None, prompt_tokens: int) -> LoadTicket:
+    def open_ticket(self, upstream_id: str, unit: Unit | None, prompt_tokens: int) -> LoadTicket:
         """Count a request in; ``unit`` is what it runs on, None for a plain service."""
         self.add(upstream_id, 1, prompt_tokens, unit)
         return LoadTicket(self, upstream_id, unit, prompt_tokens)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -52,12 +52,12 @@
             load = self._parts.load_tracker.total(candidate.upstream.id)
             backpressure = self._parts.backpressure.state(candidate.upstream.id)
             call.attempts.begin(call.terms.request_id, candidate, load, backpressure)
-            ticket = self._parts.load_tracker.enter(candidate.upstream.id, None, 0)
+            ticket = self._parts.load_tracker.open_ticket(candidate.upstream.id, None, 0)
             try:
                 if self._send(call, candidate.upstream):
                     return
             finally:
-                ticket.leave()
+                ticket.close()
 
     def _candidate(self, call: Call) -> Candidate | None:
         """Return the best upstream, waiting for one that takes no request yet; None without any."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -88,13 +88,13 @@
             call.attempts.begin(call.terms.request_id, candidate, load, backpressure)
             kept = self._prefixes.kept_tokens(upstream.id, prompt)
             unread = max(0, prompt.tokens_in - kept)
-            ticket = self._parts.load_tracker.enter(upstream.id, prompt.unit, unread)
+            ticket = self._parts.load_tracker.open_ticket(upstream.id, prompt.unit, unread)
             self._prefixes.sent(upstream.id, prompt)
             try:
                 if self._send(call, candidate, progress, ticket):
                     return
             finally:
-                ticket.leave()
+                ticket.close()
 
     def _send(
         self,
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
@@ -90,7 +90,7 @@
         number = self.random.randrange(self.shape.instances)
         tokens = int(min(6870, self.random.lognormvariate(7.2, 0.7)))
         chosen = self.choosers[number].choose_holder("llm", Prompt(UNIT, tokens, 100, ()), ())
-        ticket = self.fleets[number].load_tracker.enter(chosen.upstream.id, UNIT, tokens)
+        ticket = self.fleets[number].load_tracker.open_ticket(chosen.upstream.id, UNIT, tokens)
         read = tokens / self.shape.tokens_per_ms / 1000 + FIRST_STEP_SECONDS
         begins = max(now, self.free_at[chosen.upstream.id])
         done = begins + read
@@ -103,7 +103,7 @@
             latency_factors.observe(chosen.upstream.id, chosen.first_event_ms, (done - now) * 1000)
 
         self.at(done, first_event)
-        self.at(done + STREAM_SECONDS, ticket.leave)
+        self.at(done + STREAM_SECONDS, ticket.close)
 
     def news(self):
         self.at(self.clock[0] + NEWS_SECONDS, self.news)
@@ -169,7 +169,7 @@
         for n in range(3)
     )
     for upstream_id in ("u0", "u2"):
-        fleet.load_tracker.enter(upstream_id, UNIT, 2000)
+        fleet.load_tracker.open_ticket(upstream_id, UNIT, 2000)
     chooser = Chooser("z", fleet, lambda: 6)
     chosen = {
         chooser.choose_holder("llm", Prompt(UNIT, 1000, 10, ()), ()).upstream.id for _ in range(50)
@@ -187,7 +187,7 @@
         for n in range(12)
     )
     for number in range(11):
-        fleet.load_tracker.enter(f"u{number}", UNIT, 90_000)
+        fleet.load_tracker.open_ticket(f"u{number}", UNIT, 90_000)
     chooser = Chooser("z", fleet, lambda: 195)
     prompt = Prompt(UNIT, 1000, 10, ())
     for _ in range(50):
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
@@ -161,7 +161,7 @@
     # other moment and no other upstream would make it shorter.
     world.add("llm", events(1))
     assert world.ask("/stream/", model="m", tokens="40000,10").status == 200
-    ticket = world.load_tracker.enter("u0", None, 40_000)
+    ticket = world.load_tracker.open_ticket("u0", None, 40_000)
     small = world.ask("/stream/", model="m")
     assert (small.status, b"overloaded" in small.body) == (503, True)
-    ticket.leave()
+    ticket.close()
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
@@ -93,7 +93,7 @@
 def test_own_load_is_not_counted_twice():
     fleet = new_fleet()
     own = [LoadEntry("u0", 3, 200)]
-    fleet.load_tracker.enter("u0", None, 0)
+    fleet.load_tracker.open_ticket("u0", None, 0)
     _take_update(
         LeaderUpdate("g", 1, [], True, {}, [LoadEntry("u0", 5, 900)], 2, NOTHING_READ), own, fleet
     )
