--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/backpressure_tracker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/backpressure_tracker.py
@@ -70,9 +70,9 @@
         self, upstream_id: str, per_second: float | None, source: str, sent_at: float | None
     ) -> None:
         if per_second is not None:
-            self._rates.advertised(upstream_id, per_second, source)
+            self._rates.note_limit(upstream_id, per_second, source)
         elif sent_at is not None:
-            self._rates.lifted(upstream_id, sent_at, source)
+            self._rates.note_no_limit(upstream_id, sent_at, source)
 
     def _take_retry_after(self, upstream_id: str, seconds: float, source: str) -> None:
         before = self._retry_times.remaining(upstream_id)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
@@ -137,11 +137,11 @@
         with self._lock:
             return min(map(self._wait_seconds, upstream_ids), default=0.0)
 
-    def advertised(self, upstream_id: str, per_second: float, source: str) -> None:
+    def note_limit(self, upstream_id: str, per_second: float, source: str) -> None:
         """Take the limit that an answer of ``upstream_id`` advertises."""
         self._take(upstream_id, RateLimit(per_second, self._clock(), observed=True), source)
 
-    def lifted(self, upstream_id: str, sent_at: float, source: str) -> None:
+    def note_no_limit(self, upstream_id: str, sent_at: float, source: str) -> None:
         """Take an answer without a limit, to a request that was sent at ``sent_at``.
 
         An answer may have been on its way while the upstream began to advertise: only one
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
@@ -92,18 +92,18 @@
     # Guards against an older answer without a limit that lets all requests through again.
     sent_at = rates.clock[0]
     rates.clock[0] += 0.1
-    rates.advertised(UPSTREAM, 2.0, "answer")
-    rates.lifted(UPSTREAM, sent_at, "answer")
+    rates.note_limit(UPSTREAM, 2.0, "answer")
+    rates.note_no_limit(UPSTREAM, sent_at, "answer")
     assert rates.per_second(UPSTREAM) == 2.0
-    rates.lifted(UPSTREAM, rates.clock[0] + 0.1, "answer")
+    rates.note_no_limit(UPSTREAM, rates.clock[0] + 0.1, "answer")
     assert rates.per_second(UPSTREAM) is None
 
 
 def test_older_news_do_not_replace_what_an_answer_has_told(rates):
     # Guards against an order giver that is behind and brings an ended limit back.
-    rates.advertised(UPSTREAM, 2.0, "answer")
+    rates.note_limit(UPSTREAM, 2.0, "answer")
     rates.clock[0] += 1.0
-    rates.lifted(UPSTREAM, rates.clock[0], "answer")
+    rates.note_no_limit(UPSTREAM, rates.clock[0], "answer")
     rates.receive([PermitEntry(UPSTREAM, 2.0, 0.5, 0, {})])
     assert rates.per_second(UPSTREAM) is None
     rates.receive([PermitEntry(UPSTREAM, 3.0, 0.0, 0, {"one": 1})])
@@ -117,7 +117,7 @@
 
 def test_unused_permits_are_void_after_a_while(rates):
     # Guards against permits that are saved up and come all at once.
-    rates.advertised(UPSTREAM, 2.0, "answer")
+    rates.note_limit(UPSTREAM, 2.0, "answer")
     rates.receive([PermitEntry(UPSTREAM, 2.0, 0.0, 0, {"one": 2})])
     rates.clock[0] += 1.1
     assert not rates.draw(UPSTREAM)
@@ -125,7 +125,7 @@
 
 def test_wait_counts_the_requests_of_all_instances(rates):
     # Guards against requests that are held although those before them take longer.
-    rates.advertised(UPSTREAM, 2.0, "answer")
+    rates.note_limit(UPSTREAM, 2.0, "answer")
     rates.receive([PermitEntry(UPSTREAM, 2.0, 0.0, 6, {})])
     assert rates.wait_seconds([UPSTREAM]) == 3.0
     with rates.waiting([UPSTREAM]):
@@ -134,7 +134,7 @@
 
 
 def test_upstream_that_is_gone_is_forgotten(rates):
-    rates.advertised(UPSTREAM, 0.0, "answer")
+    rates.note_limit(UPSTREAM, 0.0, "answer")
     rates.forget({UPSTREAM})
     assert rates.may_send(UPSTREAM)
     assert not rates.updates()
@@ -144,10 +144,10 @@
     # Guards against limits of upstreams that are gone and are told from instance to instance for ever.
     listed = {UPSTREAM}
     rates = RateLimits("one", listed=listed.__contains__)
-    rates.advertised(UPSTREAM, 1.0, "answer")
+    rates.note_limit(UPSTREAM, 1.0, "answer")
     listed.clear()
     rates.forget({UPSTREAM})
-    rates.advertised(UPSTREAM, 1.0, "answer")
+    rates.note_limit(UPSTREAM, 1.0, "answer")
     rates.receive([PermitEntry(UPSTREAM, 1.0, 0.0, 0, {})])
     assert not rates.limited()
 
@@ -158,7 +158,7 @@
     assert rates.updates() == []
     assert [entry.upstream for entry in rates.updates(full=True)] == [UPSTREAM]
     rates.clock[0] += 0.1
-    rates.advertised(UPSTREAM, 2.0, "answer")
+    rates.note_limit(UPSTREAM, 2.0, "answer")
     assert [entry.per_second for entry in rates.updates()] == [2.0]
     rates.clock[0] += 3.0
     assert rates.updates() == []
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_rate_limits.py
@@ -41,7 +41,7 @@
     # Guards against requests that wait for an upstream with a limit beside a free one.
     world.add("plain", sized(b"first"))
     world.add("plain", sized(b"second"))
-    world.rates.advertised("u0", 1.0, "answer")
+    world.rates.note_limit("u0", 1.0, "answer")
     assert {world.ask("/safe/").body for _ in range(5)} == {b"second"}
 
 
@@ -51,7 +51,7 @@
     world.add("plain", sized(b"ok"))
     world.add("llm", events(1, 2))
     for upstream in ("u0", "u1"):
-        world.rates.advertised(upstream, 1.0, "answer")
+        world.rates.note_limit(upstream, 1.0, "answer")
     issued = threading.Timer(0.3, lambda: [issue(world, key, permits=1) for key in ("u0", "u1")])
     issued.start()
     assert world.ask(path, model=model).status == 200
@@ -64,7 +64,7 @@
     world.add("plain", sized(b"ok"))
     world.add("llm", events(1, 2))
     for upstream in ("u0", "u1"):
-        world.rates.advertised(upstream, 1.0, "answer")
+        world.rates.note_limit(upstream, 1.0, "answer")
         issue(world, upstream, waiting=30)
     answer = world.ask(path, model=model)
     assert answer.status == 503
@@ -76,7 +76,7 @@
 def test_one_permit_takes_one_request(world):
     # Guards against two requests that both use what was issued for one.
     world.add("plain", advertising(1.0))
-    world.rates.advertised("u0", 1.0, "answer")
+    world.rates.note_limit("u0", 1.0, "answer")
     issue(world, "u0", permits=1)
     statuses = []
     callers = [
--- a/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
@@ -119,9 +119,9 @@
             before = self.rates[instance].per_second(UPSTREAM)
             if self.history.named_at <= self.now < self.history.ends_at:
                 self.told_at.setdefault(instance, self.now)
-                self.rates[instance].advertised(UPSTREAM, self.history.rate, "answer")
+                self.rates[instance].note_limit(UPSTREAM, self.history.rate, "answer")
             else:
-                self.rates[instance].lifted(UPSTREAM, sent_at, "answer")
+                self.rates[instance].note_no_limit(UPSTREAM, sent_at, "answer")
             if self.rates[instance].per_second(UPSTREAM) != before:
                 self._learned.add(instance)
 
