--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
@@ -1,4 +1,4 @@
-"""What upstreams hold, asked from themselves while nobody else tells."""
+"""Requests reports from the upstreams while neither leader nor list gives their residency."""
 
 import itertools
 import time
@@ -12,35 +12,35 @@
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 
-# The order giver tells four times a second: after this it has fallen silent, or the
-# link to it has.
+# The leader sends updates four times a second: after this time without one, the leader or
+# the link to it is silent.
 SILENT_SECONDS = 0.8
-# A list that was read within this part of the time in which an upstream that leaves must
-# get no more work says enough; own reads come more often.
+# A list is fresh enough if it was read within this fraction of the time after which a
+# leaving upstream gets no new work; own reads are more frequent.
 FRESH_LIST_FRACTION = 0.6
-# Callers of an instance that is cut off come back through another one at once.
+# Callers of an instance that is cut off can retry through another instance at once.
 CALLER_RETRY_SECONDS = 0.05
-# Those of a whole failure domain reach another one only when the balancer has found
-# this one's instances not ready: it asks once a second, and counts two misses.
+# If a whole failure domain is cut off, callers reach another one only after the balancer
+# has found the instances here not ready: it checks once a second and needs two misses.
 OUT_OF_ROTATION_SECONDS = 2.2
-# Among many upstreams a round asks some, the next round the next ones.
+# With more upstreams than this, each round covers the next ones in turn.
 MAX_REQUESTS_PER_ROUND = 12
 
 
 class Report(Protocol):
-    """What is used of an upstream's report."""
+    """The part of an upstream's report that is used here."""
 
     @property
     def resident(self) -> AdaptersByModel:
-        """Adapters by model."""
+        """Resident adapters by model."""
 
     @property
     def started_at_ms(self) -> int | None:
-        """Which start of the process says it."""
+        """When the reporting process started, None if unknown."""
 
 
 class ListState(Protocol):
-    """How the reads of the list go."""
+    """State of this instance's reads of the list."""
 
     @property
     def age(self) -> float:
@@ -52,20 +52,20 @@
 
 
 class _Answer(NamedTuple):
-    """What an upstream says of itself, None without an answer."""
+    """An upstream and its report, None if it did not answer."""
 
     upstream: Upstream
     report: Report | None
 
 
 class OwnReports:
-    """Asks the upstreams in rounds while neither the order giver nor the list tells.
+    """Requests reports in rounds while neither leader nor list gives current residency.
 
-    An instance that is cut off from both still reaches upstreams, for as long as the cut
-    lasts. Models move meanwhile: it sent requests to upstreams that no longer held them,
-    and refused those for models that had come. Who answers also tells what is cut: an
-    instance that reaches upstreams of its own failure domain only shares the domain's
-    fate.
+    An instance that is cut off from both can still reach upstreams. Since models are
+    swapped meanwhile, it would send requests to upstreams where a model is no longer
+    resident, and refuse requests for models that have been loaded. The answers also show
+    what is cut off: if only upstreams of its own failure domain answer, the whole domain
+    is.
     """
 
     def __init__(
@@ -75,20 +75,21 @@
         residency: Residency,
         list_state: ListState,
         runs_models: Callable[[str], bool],
-        ask: Callable[[Upstream], Report | None],
+        request_report: Callable[[Upstream], Report | None],
         leave_seconds: float = 2.0,
-        may_ask: Callable[[str], bool] = lambda _: True,
+        may_request: Callable[[str], bool] = lambda _: True,
     ) -> None:
         self._failure_domain = failure_domain
         self._directory = directory
         self._residency = residency
         self._list = list_state
         self._runs_models = runs_models
-        self._ask = ask
-        # Whether an upstream, by its id, takes one more call.
-        self._may_ask = may_ask
+        self._request_report = request_report
+        # Whether one more request may be sent to an upstream, by its id.
+        self._may_request = may_request
         self._list_seconds = leave_seconds * FRESH_LIST_FRACTION
-        # Only while it asks: its threads would rest for hours between two cuts.
+        # Exists only while reports are requested: its threads would be idle for hours
+        # between two network partitions.
         self._pool: ThreadPoolExecutor | None = None
         self._offset = itertools.count(step=MAX_REQUESTS_PER_ROUND)
         self._domain_cut = False
@@ -96,10 +97,10 @@
 
     @property
     def caller_retry_seconds(self) -> float | None:
-        """When callers refused here had better come back, None while not cut off.
+        """Seconds after which callers refused here should retry, None while not cut off.
 
-        A giver that has fallen silent is replaced within seconds, and hears of what waits
-        then: only where the list can't be read either is waiting here in vain.
+        A silent leader is replaced within seconds, and its successor learns which requests
+        wait. Waiting here is useless only if the list cannot be read either.
         """
         if not self.domain_cut:
             return CALLER_RETRY_SECONDS if self.without_updates and self._list.lost else None
@@ -108,9 +109,10 @@
 
     @property
     def without_updates(self) -> bool:
-        """Whether neither the order giver nor the list has told anything lately."""
-        # Where the list is read less often its age alone would have every instance ask
-        # every upstream in each pause of the giver; a failed read tells as soon.
+        """Whether the leader is silent and the list was not read lately either."""
+        # With `SILENT_SECONDS` as the only limit, a list that is read less often would have
+        # every instance query every upstream whenever the leader pauses. A failed read
+        # shows a partition just as early.
         return self.leader_silent and (
             self._list.age > self._list_seconds
             or (self._list.lost and self._list.age > SILENT_SECONDS)
@@ -118,7 +120,7 @@
 
     @property
     def leader_silent(self) -> bool:
-        """Whether the order giver has told nothing lately."""
+        """Whether no update of the leader was received lately."""
         return self._residency.age > SILENT_SECONDS
 
     @property
@@ -127,34 +129,34 @@
         return self._domain_cut and self.without_updates
 
     def step(self) -> None:
-        """Ask a round of upstreams, unless somebody tells what they hold."""
+        """Request reports from one round of upstreams if there are no updates."""
         if not self.without_updates:
-            self._see_domain_cut(False)
+            self._set_domain_cut(False)
             self._end_pool()
             return
         if self._pool is None:
             self._pool = ThreadPoolExecutor(MAX_REQUESTS_PER_ROUND, thread_name_prefix="own-reports")
-        asked = [one for one in self._round() if self._may_ask(one.id)]
-        answers = [*map(_Answer, asked, self._pool.map(self._ask, asked))]
+        queried = [one for one in self._next_round() if self._may_request(one.id)]
+        answers = [*map(_Answer, queried, self._pool.map(self._request_report, queried))]
         now = time.monotonic()
         for upstream, report in answers:
             if report is not None and report.started_at_ms == upstream.started_at_ms:
                 self._residency.reported(upstream.id, report.resident, now)
-        self._see_domain_cut(self._only_own_domain(answers))
+        self._set_domain_cut(self._reaches_only_own_domain(answers))
 
     def _end_pool(self) -> None:
         if self._pool is not None:
             self._pool.shutdown(wait=False)
             self._pool = None
 
-    def _round(self) -> list[Upstream]:
+    def _next_round(self) -> list[Upstream]:
         known = [u for u in self._directory.all() if self._runs_models(u.service)]
         if len(known) <= MAX_REQUESTS_PER_ROUND:
             return known
         start = next(self._offset) % len(known)
         return [*known[start:], *known[:start]][:MAX_REQUESTS_PER_ROUND]
 
-    def _only_own_domain(self, answers: list[_Answer]) -> bool:
+    def _reaches_only_own_domain(self, answers: list[_Answer]) -> bool:
         own: list[bool] = []
         others: list[bool] = []
         for upstream, report in answers:
@@ -162,7 +164,7 @@
             (own if same else others).append(report is not None)
         return any(own) and bool(others) and not any(others)
 
-    def _see_domain_cut(self, cut: bool) -> None:
+    def _set_domain_cut(self, cut: bool) -> None:
         if cut != self._domain_cut:
             self._domain_cut, self._domain_cut_at = cut, time.monotonic()
             log_event("failure_domain_cut" if cut else "failure_domain_joined", level="WARNING")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/prefix_memory.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/prefix_memory.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts upstreams have read lately, from what this instance sent."""
+"""Which prompt parts upstreams have cached, from what this instance sent them lately."""
 
 import threading
 from collections import OrderedDict
@@ -6,20 +6,20 @@
 
 from redwingscale_daemon._internal.fleet.prompt import Prompt
 
-# Parts that an upstream keeps are a few thousand at most: its memory holds about
-# 140,000 tokens and shared parts have some hundreds.
+# An upstream caches a few thousand parts at most: its memory has room for about 140,000
+# tokens and shared parts have some hundreds.
 MAX_CHAINS_PER_UPSTREAM = 400
 
 
 class PrefixMemory:
-    """The newest chains of parts by upstream id; the least recently sent yield."""
+    """The latest chains of parts by upstream id; the least recently sent are evicted."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._chains_by_upstream: dict[str, OrderedDict[int, None]] = {}
 
     def sent(self, upstream_id: str, prompt: Prompt) -> None:
-        """Note that ``upstream_id`` reads ``prompt``."""
+        """Note that ``prompt`` was sent to ``upstream_id``."""
         with self._lock:
             chains = self._chains_by_upstream.setdefault(upstream_id, OrderedDict())
             for chain, _ in _chains(prompt):
@@ -29,7 +29,7 @@
                 chains.popitem(last=False)
 
     def kept_tokens(self, upstream_id: str, prompt: Prompt) -> int:
-        """Return how many tokens of ``prompt`` the upstream need not read again."""
+        """Return how many tokens of ``prompt`` the upstream has probably cached."""
         chains = self._chains_by_upstream.get(upstream_id)
         if not chains:
             return 0
@@ -48,9 +48,9 @@
 
 
 def _chains(prompt: Prompt) -> Iterator[tuple[int, int]]:
-    """Yield a hash of each beginning of the chain, and the tokens of its last part.
+    """Yield a hash of each prefix of the chain of parts, and the tokens of its last part.
 
-    A part is kept only where all before it are, for the same model and adapter.
+    A part is cached only together with all parts before it, for one model and adapter.
     """
     chain = hash(prompt.unit)
     for part in prompt.parts:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/prompt.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/prompt.py
@@ -1,4 +1,4 @@
-"""What a caller tells about the prompt of a generation."""
+"""A caller's description of the prompt of a generation."""
 
 from typing import NamedTuple
 
@@ -13,7 +13,7 @@
 
 
 class Prompt(NamedTuple):
-    """The unit that is asked for, its tokens in and at most out, and its parts in order."""
+    """The requested unit, the input tokens, the output limit and the parts in order."""
 
     unit: Unit
     tokens_in: int
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limit_messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limit_messages.py
@@ -1,4 +1,4 @@
-"""What instances and the order giver tell each other of the rate limits of upstreams."""
+"""Messages between instances and the leader about the rate limits of upstreams."""
 
 import msgspec
 
@@ -6,12 +6,12 @@
 
 
 class RateLimitEntry(msgspec.Struct, array_like=True):
-    """What one instance knows of an upstream's limit, ``age`` seconds old.
+    """An upstream's limit as one instance knows it, ``age`` seconds old.
 
-    ``per_second`` is None where the upstream had a limit and has none any more. ``wanted``
-    tells whether requests here could use the upstream, ``waiting`` how many have no
-    other, the first of them for ``longest_wait`` seconds, and ``used`` how many a second
-    were sent lately.
+    ``per_second`` is None if the upstream no longer has a limit. ``wanted`` is whether
+    requests here could use the upstream, ``waiting`` how many of them have no other
+    upstream, the first for ``longest_wait`` seconds, and ``used`` how many requests a
+    second were sent lately.
     """
 
     upstream: str
@@ -24,9 +24,9 @@
 
 
 class PermitEntry(msgspec.Struct, array_like=True):
-    """What the order giver knows of an upstream's limit, and whom it issues permits.
+    """An upstream's limit as the leader knows it, and the permits that it issues.
 
-    ``waiting`` requests over all instances have no other upstream.
+    ``waiting`` is the number of requests over all instances that have no other upstream.
     """
 
     upstream: str
@@ -36,6 +36,9 @@
     permits_by_instance: dict[str, int]
 
     def delayed(self, seconds: float) -> "PermitEntry":
-        """Return the entry as it is after ``seconds`` on its way."""
+        """Return the entry as it is after ``seconds`` in transit.
+
+        Permits that were in transit for too long are void.
+        """
         permits = self.permits_by_instance if seconds <= MAX_DELAY_SECONDS else {}
         return msgspec.structs.replace(self, age=self.age + seconds, permits_by_instance=permits)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
@@ -1,4 +1,4 @@
-"""The rate limits that upstreams advertise, and what may be sent to them."""
+"""Rate limits that upstreams advertise, and whether requests may be sent to them."""
 
 import threading
 import time
@@ -13,23 +13,24 @@
 from redwingscale_daemon._internal.fleet.send_permits import SendPermits
 from redwingscale_daemon._internal.utils.fading_rate import FadingRate
 
-# The end of a limit is told for this long; who has not heard it learns it by an answer.
+# The end of a limit is announced for this long; an instance that receives no such entry
+# learns of the end from an answer.
 LIFTED_ENTRY_SECONDS = 30.0
-# Requests that could use an upstream are told for this long after they came.
+# An upstream counts as wanted for this long after a request that could have used it.
 WANTED_SECONDS = 1.0
 USED_HALF_LIFE_SECONDS = 1.0
-# What an answer says is told for this long: a message may be lost.
+# A limit seen in an answer is announced for this long, since a message may be lost.
 CHANGE_FRESH_SECONDS = 2.0
-# An upstream that takes less is asked this often all the same: only answers tell that
-# its limit has ended.
+# An upstream with a lower limit is still sent this many requests a second: only answers
+# show that its limit has ended.
 MIN_PER_SECOND = 0.25
 
 
 class RateLimit(NamedTuple):
-    """``per_second`` requests, from all instances together, as of ``seen_at``, monotonic.
+    """A limit of ``per_second`` requests from all instances, as of ``seen_at``, monotonic.
 
-    None where the upstream takes any rate again. ``observed`` tells that an answer to
-    this instance said so.
+    ``per_second`` is None if the upstream no longer has a limit. ``observed`` is whether
+    this instance saw it in an answer.
     """
 
     per_second: float | None
@@ -38,10 +39,10 @@
 
 
 class RateLimits:
-    """Keeps, by upstream id, the limit that an upstream advertises, for as long as it does.
+    """Rate limits by upstream id, for as long as the upstreams advertise them.
 
-    The limit is for all instances together: an instance sends to such an upstream only by
-    permits that the order giver has issued to it.
+    A limit applies to all instances together: an instance sends to a limited upstream only
+    with permits that the leader has issued to it.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._instance = instance
-        # What is told of an upstream that has gone would never be dropped again.
+        # Entries of upstreams that are gone are refused: nothing would drop them again.
         self._listed = listed
         self._clock = clock
         self._lock = threading.Lock()
@@ -66,20 +67,20 @@
         # When each began to wait, by upstream.
         self._waiting_since: dict[str, list[float]] = defaultdict(list)
         self._used: dict[str, FadingRate] = defaultdict(lambda: FadingRate(USED_HALF_LIFE_SECONDS))
-        # Over all instances, as told by the order giver.
+        # Over all instances, as announced by the leader.
         self._all_waiting: dict[str, int] = {}
 
     def on_update(self, wake: Callable[[], None]) -> None:
-        """Call ``wake`` when the order giver has to hear at once of a request or a limit."""
+        """Call ``wake`` when the leader must be sent a waiting request or a limit at once."""
         self._wake = wake
 
     def on_change(self, notify: Callable[[], None]) -> None:
-        """Call ``notify`` when a limit has changed, by whatever source."""
+        """Call ``notify`` when a limit has changed, from any source."""
         self._notify = notify
 
     @property
     def known(self) -> bool:
-        """Whether any limit is or was known: requests look no further without one."""
+        """Whether any limit is or was known; if not, requests skip further checks."""
         return bool(self._by_id)
 
     def per_second(self, upstream_id: str) -> float | None:
@@ -96,7 +97,7 @@
         }
 
     def may_send(self, upstream_id: str) -> bool:
-        """Return whether a permit is at hand, and note that it could be used."""
+        """Return whether a permit is available, and note that one is wanted."""
         per_second = self.per_second(upstream_id)
         if per_second is None:
             return True
@@ -133,29 +134,32 @@
                     self._waiting_since[key].remove(since)
 
     def wait_seconds(self, upstream_ids: Iterable[str]) -> float:
-        """Return how long those that wait already use up one of the limits."""
+        """Return for how long the requests that already wait use up the limits.
+
+        This is the shortest such time among the upstreams.
+        """
         with self._lock:
             return min(map(self._wait_seconds, upstream_ids), default=0.0)
 
     def note_limit(self, upstream_id: str, per_second: float, source: str) -> None:
-        """Take the limit that an answer of ``upstream_id`` advertises."""
+        """Store the limit that an answer of ``upstream_id`` advertises."""
         self._take(upstream_id, RateLimit(per_second, self._clock(), observed=True), source)
 
     def note_no_limit(self, upstream_id: str, sent_at: float, source: str) -> None:
-        """Take an answer without a limit, to a request that was sent at ``sent_at``.
+        """Note an answer without a limit, to a request that was sent at ``sent_at``.
 
-        An answer may have been on its way while the upstream began to advertise: only one
-        to a request that was sent afterwards tells that the limit has ended.
+        The answer may have been in transit when the upstream began to advertise: the limit
+        ends only with an answer to a request that was sent after it was seen.
         """
         before = self._by_id.get(upstream_id)
         if before is not None and before.per_second is not None and sent_at > before.seen_at:
             self._take(upstream_id, RateLimit(None, self._clock(), observed=True), source)
 
     def updates(self, *, full: bool = False) -> list[RateLimitEntry]:
-        """Return what the order giver is told: what is new here, and what is asked for here.
+        """Return the entries for the leader: recent changes, and limits that requests meet.
 
-        With ``full`` all that is known: hundreds of instances that each told it
-        always would fill the order giver's link.
+        With ``full``, return all entries. Not the default, since hundreds of instances
+        that always sent all entries would saturate the leader's link.
         """
         now = self._clock()
         with self._lock:
@@ -167,28 +171,30 @@
         return [
             entry
             for rate, entry in entries
-            if full or entry.wanted or entry.waiting or _is_news(rate, now)
+            if full or entry.wanted or entry.waiting or _is_recent(rate, now)
         ]
 
     def drain_changed(self) -> list[RateLimitEntry]:
-        """Return what has changed since the last call."""
+        """Return the limits that have changed since the last call."""
         now = self._clock()
         with self._lock:
             changed, self._changed = self._changed, set()
             return [self._entry(key, self._by_id[key], now) for key in changed & self._by_id.keys()]
 
     def receive_from_peer(self, entries: Iterable[RateLimitEntry]) -> None:
-        """Take what another instance knows, where it is newer."""
+        """Take the entries of another instance that are newer than those stored."""
         now = self._clock()
         for entry in entries:
-            self._take_told(entry.upstream, RateLimit(entry.per_second, now - entry.age), "peer")
+            self._take_if_newer(
+                entry.upstream, RateLimit(entry.per_second, now - entry.age), "peer"
+            )
 
     def receive(self, entries: Iterable[PermitEntry]) -> None:
-        """Take what the order giver tells and issues."""
+        """Take the leader's limits and the permits that it issues."""
         now = self._clock()
         for entry in filter(lambda one: self._listed(one.upstream), entries):
-            told = RateLimit(entry.per_second, now - entry.age)
-            self._take_told(entry.upstream, told, "order giver")
+            limit = RateLimit(entry.per_second, now - entry.age)
+            self._take_if_newer(entry.upstream, limit, "order giver")
             with self._lock:
                 self._all_waiting[entry.upstream] = entry.waiting
                 permits = entry.permits_by_instance.get(self._instance, 0)
@@ -221,10 +227,10 @@
             round(now - min(waiting_since, default=now), 3),
         )
 
-    def _take_told(self, upstream_id: str, told: RateLimit, source: str) -> None:
+    def _take_if_newer(self, upstream_id: str, limit: RateLimit, source: str) -> None:
         before = self._by_id.get(upstream_id)
-        if before is None or told.seen_at > before.seen_at:
-            self._take(upstream_id, told, source)
+        if before is None or limit.seen_at > before.seen_at:
+            self._take(upstream_id, limit, source)
 
     def _take(self, upstream_id: str, after: RateLimit, source: str) -> None:
         with self._lock:
@@ -243,16 +249,16 @@
         log_event(
             "upstream_rate_limit",
             upstream=upstream_id,
-            per_second=_named(after.per_second),
-            before=_named(before.per_second if before else None),
+            per_second=_for_log(after.per_second),
+            before=_for_log(before.per_second if before else None),
             age=round(after.seen_at - before.seen_at, 3) if before else "-",
             source=source,
         )
 
 
-def _is_news(rate: RateLimit, now: float) -> bool:
+def _is_recent(rate: RateLimit, now: float) -> bool:
     return rate.observed and now - rate.seen_at < CHANGE_FRESH_SECONDS
 
 
-def _named(per_second: float | None) -> float | str:
+def _for_log(per_second: float | None) -> float | str:
     return "-" if per_second is None else per_second
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/send_gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/send_gate.py
@@ -1,4 +1,4 @@
-"""Whether an upstream takes a request of this instance now, by what it has said of itself."""
+"""Whether backpressure allows sending a request to an upstream now."""
 
 from collections.abc import Iterable
 from contextlib import AbstractContextManager
@@ -8,7 +8,7 @@
 
 
 class SendGate:
-    """Joins rate limits, which count for all instances, and retry times, for this one."""
+    """Combines rate limits, which apply to all instances, and retry times, for this one."""
 
     def __init__(self, rates: RateLimits, retry_times: RetryTimes) -> None:
         self._rates = rates
@@ -16,23 +16,23 @@
 
     @property
     def known(self) -> bool:
-        """Whether any upstream has said anything: requests look no further otherwise."""
+        """Whether any backpressure is stored; if not, requests skip further checks."""
         return self._rates.known or self._retry_times.known
 
     def may_send(self, upstream_id: str) -> bool:
-        """Return whether a request may be sent now, and note that one could be."""
+        """Return whether a request may be sent now, and note that a permit is wanted."""
         return not self._retry_times.remaining(upstream_id) and self._rates.may_send(upstream_id)
 
     def draw(self, upstream_id: str) -> bool:
-        """Use up the permit for one request or call; return whether it may be sent."""
+        """Use up a permit for one request; return whether the request may be sent."""
         return not self._retry_times.remaining(upstream_id) and self._rates.draw(upstream_id)
 
     def wait_seconds(self, upstream_ids: Iterable[str]) -> float:
-        """Return how long it takes until one of the upstreams takes a further request."""
+        """Return the seconds until one of the upstreams accepts a further request."""
         return min(map(self._wait_seconds, upstream_ids), default=0.0)
 
     def retry_seconds(self, upstream_ids: Iterable[str]) -> float:
-        """Return how long it takes until one of the upstreams may be asked again."""
+        """Return the seconds until the retry time of one of the upstreams has passed."""
         return min(map(self._retry_times.remaining, upstream_ids), default=0.0)
 
     def waiting(self, upstream_ids: Iterable[str]) -> AbstractContextManager[None]:
@@ -40,7 +40,7 @@
         return self._rates.waiting(key for key in upstream_ids if self._limited(key))
 
     def rate_limited(self, upstream_ids: Iterable[str]) -> bool:
-        """Return whether a rate limit holds requests back from one of the upstreams."""
+        """Return whether one of the upstreams has a rate limit."""
         return any(map(self._limited, upstream_ids))
 
     def _limited(self, upstream_id: str) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/unit.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/unit.py
@@ -1,10 +1,10 @@
-"""What a request needs to find at an upstream."""
+"""What must be resident at an upstream to serve a request."""
 
 from typing import NamedTuple
 
 
 class Unit(NamedTuple):
-    """A model, and one of its adapters or none."""
+    """A model, optionally with one of its adapters."""
 
     model: str
     adapter: str = ""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/upstream.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/upstream.py
@@ -4,7 +4,7 @@
 
 
 class ResidentModel(NamedTuple):
-    """A model in an upstream's memory, and its adapters there."""
+    """A model that is resident at an upstream, and its resident adapters."""
 
     name: str
     version: int
@@ -12,16 +12,16 @@
 
 
 class Upstream(NamedTuple):
-    """One start of a process behind the system, known by ``id`` everywhere in the system.
+    """One start of a server process, identified by ``id`` everywhere in the system.
 
-    A process may start again under the name that it had, and knows nothing of before:
-    what it held, its order count, its speed, its failures, its connections. Two starts
-    of one ``platform_name`` are therefore two upstreams: what is kept by ``id`` can't
-    carry over, and goes with the former start. ``row_version`` tells which of two
-    entries of one name is the newer one; the clocks that ``id`` is made of may jump.
+    A process that restarts keeps its name but none of its state: residency, order count,
+    speed, failures and connections. Two starts of one ``platform_name`` are therefore two
+    upstreams, so that state keyed by ``id`` can't carry over and is dropped with the
+    former start. ``row_version`` decides which of two entries of one name is newer, since
+    the clocks that ``id`` is made from may jump.
 
-    ``leaving`` upstreams take no new work; ``seconds_left`` is how long one that
-    is taken away at short notice has, None where it isn't known.
+    ``leaving`` upstreams take no new work. ``seconds_left`` is the remaining time of one
+    that is removed at short notice, None if unknown.
     """
 
     id: str
@@ -35,18 +35,18 @@
     models_by_name: dict[str, ResidentModel]
     in_memory: frozenset[str]
     on_disk: frozenset[str]
-    # The platform's name of the process, where ``id`` also tells the start.
+    # The platform's name of the process, set if ``id`` also contains the start.
     named: str | None = None
-    # When it started, in Unix milliseconds by its own clock; None where it isn't told.
+    # When the process started, in Unix milliseconds by its own clock, None if unknown.
     started_at_ms: int | None = None
     row_version: int = 0
 
     @property
     def platform_name(self) -> str:
-        """What the process calls itself in its entry, its reports and its refusals."""
+        """Name of the process in its entry, its reports and its refusals."""
         return self.id if self.named is None else self.named
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens; used again by others after it has ended."""
+        """Where the process listens; other processes may reuse the address after its end."""
         return (self.host, self.port)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/upstream_directory.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/upstream_directory.py
@@ -1,4 +1,4 @@
-"""The upstreams that requests can go to."""
+"""The upstreams that requests can be sent to."""
 
 import threading
 import time
@@ -15,17 +15,17 @@
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 
 GoneListener = Callable[[set[str]], None]
-# From the upstreams known by id.
+# Called with the current upstreams by id, returns the new list.
 MakeList = Callable[[dict[str, Upstream]], Iterable[Upstream]]
 
 
 class ListCopy(NamedTuple):
-    """The list as this instance knows it, and its `list_digest`.
+    """This instance's copy of the list, and its `list_digest`.
 
-    ``version`` is that of the store's rows as of which it was read, here or by the
-    order giver. ``kept`` are the ids of those that the list lacked when it was read here:
-    they count in the digest, so that the order giver's news don't stand in for reads
-    until they are back or dropped.
+    ``version`` is the row version of the store when the list was read, here or by the
+    leader. ``kept`` are the ids of upstreams that were missing from the list when it was
+    read here but are still used. They count in the digest, so that the leader's updates
+    don't replace reads until these upstreams are listed again or dropped.
     """
 
     by_id: dict[str, Upstream]
@@ -34,17 +34,18 @@
     kept: frozenset[str] = frozenset()
 
     def listed(self) -> list[Upstream]:
-        """Return those that the store lists."""
+        """Return the upstreams that the store lists."""
         return [upstream for key, upstream in self.by_id.items() if key not in self.kept]
 
 
 class UpstreamDirectory:
-    """Upstreams by id, as last listed, with the holdings that are newer than the list.
+    """Upstreams by id, as last listed, with residency that is newer than the list.
 
-    Lists come from two threads, as read here and as the order giver tells it, and in any
-    order. Versions of rows only rise: what is older than the copy is not taken, else it
-    would bring back an upstream that has left. An upstream that leaves by any source,
-    the list or its own answers, takes no new work whatever the others say.
+    Lists come from two threads, one that reads the store and one that receives the
+    leader's updates, and in any order. Row versions only rise: a list that is older than
+    the copy is ignored, as it would bring back an upstream that has left. An upstream that
+    is leaving by any source, the list or its own answers, takes no new work whatever the
+    other sources say.
     """
 
     def __init__(self, residency: Residency, changes: Changes) -> None:
@@ -63,9 +64,9 @@
     def replace(
         self, listed: Iterable[Upstream], version: int = 0, kept: Iterable[Upstream] = ()
     ) -> bool:
-        """Take a whole list that was read as of ``version``; return whether it is the newest.
+        """Take a full list that was read at ``version``; return False if it is outdated.
 
-        ``kept`` are to be used, too, though the list lacks them.
+        Upstreams in ``kept`` are used as well, although they are missing from the list.
         """
         kept_by_id = {upstream.id: upstream for upstream in kept}
         upstreams = [*listed, *kept_by_id.values()]
@@ -75,27 +76,26 @@
         return taken
 
     def update(self, changed: Iterable[Upstream], gone: Iterable[str], version: int = 0) -> bool:
-        """Take changes to the list: upstreams that have come or changed, ids of those gone."""
+        """Take changes to the list: new or changed upstreams, and the ids of those gone."""
         changed_by_id = {upstream.id: upstream for upstream in changed}
         dropped = set(gone)
 
-        def changed_list(known: dict[str, Upstream]) -> Iterable[Upstream]:
-            others = {key: one for key, one in known.items() if key not in dropped}
+        def apply_changes(before: dict[str, Upstream]) -> Iterable[Upstream]:
+            others = {key: one for key, one in before.items() if key not in dropped}
             return {**others, **changed_by_id}.values()
 
-        return self._take(changed_list, version)
+        return self._take(apply_changes, version)
 
     def _take(self, make: MakeList, version: int, kept: frozenset[str] | None = None) -> bool:
-        """Take what ``make`` returns for the list as it is known, unless that is newer.
+        """Replace the copy by what ``make`` returns for it; return False if it is newer.
 
-        All under one lock: changes that were merged into a list which another thread
-        has replaced meanwhile would bring back what that has dropped.
+        Runs under one lock: changes that are merged into a copy which another thread
+        replaces meanwhile would bring back upstreams that the other one has dropped.
         """
         with self._lock:
             before = self._copy
             if version < before.version:
                 return False
-            # Of two starts under one name the newer one counts.
             after = _newest_starts(make(before.by_id), before.by_id.values())
             kept = before.kept if kept is None else kept
             self._copy = ListCopy(after, list_digest(after.values()), version, kept)
@@ -112,13 +112,13 @@
         if gone:
             for listener in self._gone_listeners:
                 listener(gone)
-        if gone or leaving or after.keys() - before.keys() or _held_differs(before, after):
+        if gone or leaving or after.keys() - before.keys() or _residency_differs(before, after):
             self._changes.notify()
 
     def note_leaving(self, upstream_ids: Iterable[str], source: str) -> None:
-        """Take from another ``source`` than the list that upstreams leave.
+        """Note from another ``source`` than the list that upstreams are leaving.
 
-        The entry of one that cannot reach the store says for long that it takes work.
+        The entry of an upstream that cannot reach the store stays unchanged for long.
         """
         with self._lock:
             new = self._leaving.note([key for key in upstream_ids if self.lists(key)])
@@ -128,21 +128,21 @@
             self._changes.notify()
 
     def leaving_seconds(self, upstream_id: str) -> float | None:
-        """Return how long it is known that ``upstream_id`` leaves, None if it does not."""
+        """Return for how many seconds ``upstream_id`` is known to be leaving, None if not."""
         return self._leaving.seconds(upstream_id)
 
     def leaving_unlisted(self) -> list[str]:
-        """Return the ids of those that leave while their entries say that they take work."""
+        """Return the ids of leaving upstreams whose entries do not say that they leave."""
         listed = self._copy.by_id
         return [key for key, one in listed.items() if not one.leaving and key in self._leaving]
 
     @property
     def copy(self) -> ListCopy:
-        """All that are listed, with their digest."""
+        """The current copy of the list, with its digest."""
         return self._copy
 
     def get(self, upstream_id: str) -> Upstream | None:
-        """Return one upstream, None if it isn't listed."""
+        """Return one upstream, None if it is not listed."""
         return self._copy.by_id.get(upstream_id)
 
     def lists(self, upstream_id: str) -> bool:
@@ -150,7 +150,7 @@
         return upstream_id in self._copy.by_id
 
     def all(self) -> list[Upstream]:
-        """Return all that are listed, leaving or not."""
+        """Return all listed upstreams, leaving or not."""
         return list(self._copy.by_id.values())
 
     def usable(self, service: str) -> list[Upstream]:
@@ -163,23 +163,23 @@
         ]
 
     def holders(self, service: str, unit: Unit) -> list[Upstream]:
-        """Return the usable upstreams that hold ``unit``."""
-        return [u for u in self.usable(service) if _holds(self.resident(u), unit)]
+        """Return the usable upstreams where ``unit`` is resident."""
+        return [u for u in self.usable(service) if _is_resident(self.resident(u), unit)]
 
     def resident(self, upstream: Upstream) -> AdaptersByModel:
-        """Return the adapters by model of ``upstream``, from the newest source."""
-        told = self._residency.resident(upstream.id, self._read_at)
-        if told is not None:
-            return told
+        """Return the resident adapters by model of ``upstream``, from the latest source."""
+        resident = self._residency.resident(upstream.id, self._read_at)
+        if resident is not None:
+            return resident
         return {model.name: model.adapters for model in upstream.models_by_name.values()}
 
 
 def _newest_starts(upstreams: Iterable[Upstream], known: Iterable[Upstream]) -> dict[str, Upstream]:
-    """Return ``upstreams`` by id, each name once, never from an older entry than is known.
+    """Return ``upstreams`` by id, each name once, never from an older entry than in ``known``.
 
-    A list that is read from behind, or news of an order giver that reads from behind,
-    name a start that has ended: work would go to a process as if it still held what
-    the former one did. Versions of rows only rise, so the older entry gives way.
+    A stale read of the list, here or by the leader, names a start that has ended: requests
+    would be sent to a process as if it had the residency of the former one. Row versions
+    only rise, so the entry with the lower version is replaced.
     """
     newest = {one.platform_name: one for one in known}
     listed: dict[str, Upstream] = {}
@@ -190,12 +190,12 @@
     return {upstream.id: upstream for upstream in listed.values()}
 
 
-def _holds(resident: AdaptersByModel, unit: Unit) -> bool:
+def _is_resident(resident: AdaptersByModel, unit: Unit) -> bool:
     adapters = resident.get(unit.model)
     return adapters is not None and (not unit.adapter or unit.adapter in adapters)
 
 
-def _held_differs(before: dict[str, Upstream], after: dict[str, Upstream]) -> bool:
+def _residency_differs(before: dict[str, Upstream], after: dict[str, Upstream]) -> bool:
     return any(
         key in before and before[key].models_by_name != upstream.models_by_name
         for key, upstream in after.items()
@@ -206,13 +206,13 @@
     before: dict[str, Upstream], after: dict[str, Upstream], leaving: set[str]
 ) -> None:
     for key in after.keys() - before.keys():
-        seen = after[key]
+        upstream = after[key]
         log_event(
             "upstream_seen",
             upstream=key,
-            service=seen.service,
-            address=f"{seen.host}:{seen.port}",
-            failure_domain=seen.failure_domain,
+            service=upstream.service,
+            address=f"{upstream.host}:{upstream.port}",
+            failure_domain=upstream.failure_domain,
         )
     for key in leaving:
         seconds_left = after[key].seconds_left
