--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Which service a request goes to, and under which rules."""
+"""Routes: which service a request is sent to, and under which rules."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/current_routes.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/current_routes.py
@@ -8,10 +8,10 @@
 
 
 class CurrentRoutes:
-    """Holds the newest table seen; its version never falls in one process's life.
+    """Holds the newest table seen; its version never decreases while the process runs.
 
-    A read that was answered late, or by a connection opened before a newer one,
-    may bring an older version: taking it would undo what callers have seen.
+    A read that was answered late, or over a connection that was opened before a newer one,
+    may return an older version: using it would revert a change that callers have seen.
     """
 
     def __init__(self) -> None:
@@ -19,11 +19,11 @@
         self._table: RouteTable | None = None
 
     def get(self) -> RouteTable | None:
-        """Return the table in force, None while none is known."""
+        """Return the table in force, None before the first one."""
         return self._table
 
     def offer(self, table: RouteTable) -> bool:
-        """Take ``table`` if it is newer; return whether it is in force now."""
+        """Put ``table`` in force if it is newer; return whether it was."""
         with self._lock:
             if self._table is not None and table.version <= self._table.version:
                 return False
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/idempotency.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/idempotency.py
@@ -1,4 +1,4 @@
-"""What may be repeated on a route."""
+"""Whether requests of a route may be repeated."""
 
 from enum import Enum
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route.py
@@ -4,27 +4,27 @@
 
 from redwingscale_daemon._internal.routes.idempotency import Idempotency
 
-# Callers leave a stream after a pause of two seconds, four times the latency target
-# or eight times the longest pause in time, whichever is longest.
+# Callers disconnect from a stream after a pause of two seconds, four times the latency
+# target or eight times the longest pause that is in time, whichever is longest.
 MIN_EVENT_WAIT_SECONDS = 2.0
 LATENCY_TARGETS_WAITED = 4
 LONGEST_GAPS_WAITED = 8
 
 
 class WeightedService(NamedTuple):
-    """A service and its part of a route's requests, relative to the other weights."""
+    """A service and its weight among the services of a route."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Requests of ``host`` whose path begins with ``prefix``.
+    """Rules for requests to ``host`` whose path begins with ``prefix``.
 
-    ``priority`` 0 is the most urgent. ``resumable`` holds for streams: a run may
-    be continued at another upstream after the last event. ``longest_gap_seconds``
-    is the longest pause between two events that is still in time, 0 for none.
-    Callers of a ``public`` route need no key.
+    ``priority`` 0 is the most urgent. ``resumable`` applies to streams: another upstream
+    may continue a stream after its last event. ``longest_gap_seconds`` is the longest
+    pause between two events that is still in time, 0 for no such limit. Callers of a
+    ``public`` route need no key.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
     @property
     def first_event_seconds(self) -> float:
-        """How long callers of a stream wait for an event before they leave."""
+        """How long callers of a stream wait for an event before they disconnect."""
         max_wait = max(
             MIN_EVENT_WAIT_SECONDS,
             self.latency_target_seconds * LATENCY_TARGETS_WAITED,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_follower.py
@@ -1,4 +1,4 @@
-"""Keeps the route table as the operators write it to the store."""
+"""Keeps the route table up to date with the configuration in the store."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -14,19 +14,20 @@
 from redwingscale_daemon._internal.store.link_state import LinkState
 from redwingscale_daemon._internal.store.rows import RowKey, RowStore, StoredRow
 
-# Of the time in which a change must be in force: also when the connection of a waiting
-# read has gone silent just before it, one wait and its margin are less.
+# Duration of a waiting read, as a fraction of the time in which a change must be in force:
+# if the connection has gone silent just before the change, one wait and its margin still
+# take less than that time.
 WAIT_FRACTION = 0.6
-# The same for the one that reads for all: its word reaches them later than its reads.
+# The same for the leader, shorter since its updates reach the others only after its reads.
 WAIT_FRACTION_FOR_ALL = 0.25
-# How often an instance that relies on the order giver's news looks whether they come.
+# How often an instance that relies on the leader's updates checks that they arrive.
 VERSION_CHECK_SECONDS = 0.25
 
 Decode = Callable[[bytes], RouteTable]
 
 
 class RouteFollower:
-    """Waits for changes of one row; each step is one read."""
+    """Follows the changes of one row; each step is one read."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         in_force_seconds: float = 2.0,
         fetch_announced: Callable[[], bool] = lambda: False,
     ) -> None:
-        # Brings the version that was told from the one that told it, if it can.
+        # Fetches the announced version from the leader; returns whether that succeeded.
         self._fetch_announced = fetch_announced
         self._store = store
         self._row = row
@@ -48,22 +49,22 @@
         self._current = current
         self._state = state
         self._versions = versions
-        # Whether this instance is the one that tells the others.
+        # Whether this instance reads for all and announces versions to the others.
         self._reads_for_all = reads_for_all
         self._in_force_seconds = in_force_seconds
         self._version: int | None = None
         self._retry = Backoff(first_at_once=True)
-        self._stood_in = False
-        # Whether the next read is the first one since the giver's word was relied on.
-        self._reads_at_once = False
+        self._relied_on_leader = False
+        # Whether the next read is the first one after relying on the leader's updates.
+        self._read_without_wait = False
 
     def step(self) -> None:
-        """Read once: everything at first and after a gap, then what has changed.
+        """Read once: the whole row at first and after a gap, otherwise its changes.
 
-        While the order giver tells of new versions, only those are read, and where it
-        hands them out, none is.
+        While the leader announces versions, the row is read only for a newer version that
+        cannot be fetched from the leader.
         """
-        if self._stands_in() and not self._newer_told():
+        if self._relies_on_leader() and not self._must_read_newer():
             return
         try:
             self._take(self._changes())
@@ -77,32 +78,33 @@
             self._retry.answered()
             self._state.answered()
 
-    def _stands_in(self) -> bool:
+    def _relies_on_leader(self) -> bool:
         known = self._current.get() is not None
-        stands_in = known and self._versions.current and not self._reads_for_all()
-        if self._stood_in and not stands_in:
-            self._reads_at_once = True
-        self._log_source(stands_in)
-        return stands_in
-
-    def _log_source(self, stands_in: bool) -> None:
-        if stands_in == self._stood_in:
+        relies = known and self._versions.current and not self._reads_for_all()
+        if self._relied_on_leader and not relies:
+            self._read_without_wait = True
+        self._log_source(relies)
+        return relies
+
+    def _log_source(self, relies: bool) -> None:
+        if relies == self._relied_on_leader:
             return
-        self._stood_in = stands_in
+        self._relied_on_leader = relies
         log_event(
             "configuration_source",
-            source="order_giver" if stands_in else "own_reads",
+            source="order_giver" if relies else "own_reads",
             told=self._versions.version,
             news_age=round(self._versions.age, 3),
             read_age=round(self._state.age, 3),
         )
 
-    def _newer_told(self) -> bool:
+    def _must_read_newer(self) -> bool:
+        """Wait for a newer version; return whether it must be read from the store."""
         table = self._current.get()
         seconds = min(VERSION_CHECK_SECONDS, self._versions.current_for)
         if table is None or not self._versions.wait_for_newer(table.version, seconds):
             return False
-        # The whole row: a waiting read could be answered by a connection gone silent.
+        # Read the whole row: a waiting read might use a connection that has gone silent.
         self._version = None
         return not self._fetch_announced()
 
@@ -116,10 +118,10 @@
         return snapshot.rows
 
     def _wait_seconds(self) -> float:
-        if self._reads_at_once:
-            # A waiting read on a connection that has gone silent meanwhile would take most
-            # of the time that a change has left.
-            self._reads_at_once = False
+        if self._read_without_wait:
+            # A waiting read on a connection that has gone silent meanwhile would use up most
+            # of the time in which a change must be in force.
+            self._read_without_wait = False
             return 0.0
         fraction = WAIT_FRACTION_FOR_ALL if self._reads_for_all() else WAIT_FRACTION
         return self._in_force_seconds * fraction
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_table.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_table.py
@@ -11,7 +11,7 @@
 
 
 class IngressLimits(NamedTuple):
-    """What a caller may send, and how long it may stay idle."""
+    """Limits on a caller's request: size, time to send its head, and time without data."""
 
     head_bytes: int
     body_bytes: int
@@ -22,7 +22,7 @@
 class RouteTable:
     """One immutable version; routes are found by host and longest prefix.
 
-    ``keys`` are None where callers need none.
+    ``keys`` is None if callers need no key.
     """
 
     def __init__(
@@ -37,32 +37,32 @@
         self.services_by_name = services_by_name
         self.limits = limits
         self.keys = keys
-        self._routes_by_place = {(route.host, route.prefix): route for route in routes}
+        self._by_host_and_prefix = {(route.host, route.prefix): route for route in routes}
 
     def __len__(self) -> int:
-        return len(self._routes_by_place)
+        return len(self._by_host_and_prefix)
 
     @property
     def routes(self) -> Iterable[Route]:
         """All routes."""
-        return self._routes_by_place.values()
+        return self._by_host_and_prefix.values()
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the route of ``host`` with the longest prefix of ``path``.
 
-        Prefixes end at a slash, so only the slashes of the path are tried: a
-        table of hundreds of routes costs no more than one of ten.
+        Prefixes end with a slash, so only the parts of the path up to a slash are looked
+        up: a table of hundreds of routes costs no more than one of ten.
         """
-        ends = [index + 1 for index, letter in enumerate(path) if letter == "/"]
+        ends = [index + 1 for index, character in enumerate(path) if character == "/"]
         for end in reversed(ends):
-            route = self._routes_by_place.get((host, path[:end]))
+            route = self._by_host_and_prefix.get((host, path[:end]))
             if route is not None:
                 return route
         return None
 
 
 def draw_service(route: Route, random_source: random.Random) -> str:
-    """Return one of the route's services, as often as its weight says."""
+    """Return one of the route's services at random, by weight."""
     if len(route.services) == 1:
         return route.services[0].service
     sums = list(accumulate(share.weight for share in route.services))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_version_tracker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_version_tracker.py
@@ -1,4 +1,4 @@
-"""The version of the configuration as the order giver reads and tells it."""
+"""Follows the configuration version that the leader reads and announces."""
 
 import threading
 import time
@@ -6,33 +6,35 @@
 
 from redwingscale_common.utils.logs import log_event
 
-# Of the time in which a change must be in force. The giver's waiting reads end earlier:
-# what is older comes from one that no longer reads. What is left is enough for an own read.
+# Fraction of the time in which a change must be in force. The leader's waiting reads end
+# earlier, so an older version comes from a leader that no longer reads. The rest of the
+# time is enough for an own read.
 CURRENT_FRACTION = 0.6
-# The giver tells four times a second: after this it has stalled, or the link to it has.
+# The leader sends updates four times a second: after this time without one, the leader or
+# the link to it has stalled.
 SILENT_SECONDS = 0.8
 
 
-class _Told(NamedTuple):
+class _Announced(NamedTuple):
     version: int
     read_at: float
-    heard_at: float
+    received_at: float
 
 
 class RouteVersionTracker:
-    """Stands in for an instance's own waiting reads, which cost a call each second."""
+    """Replaces an instance's own waiting reads, which cost one call each second."""
 
     def __init__(self, in_force_seconds: float = 2.0) -> None:
         self._current_seconds = in_force_seconds * CURRENT_FRACTION
         self._condition = threading.Condition()
-        self._told = _Told(0, float("-inf"), float("-inf"))
+        self._announced = _Announced(0, float("-inf"), float("-inf"))
 
     def take(self, version: int, age: float) -> None:
-        """Take the version that the giver has seen confirmed ``age`` seconds ago."""
+        """Take the version that the leader found to be the newest ``age`` seconds ago."""
         with self._condition:
-            newer = version > self._told.version
+            newer = version > self._announced.version
             now = time.monotonic()
-            self._told = _Told(version, now - age, now)
+            self._announced = _Announced(version, now - age, now)
             if newer:
                 self._condition.notify_all()
         if newer:
@@ -40,27 +42,27 @@
 
     @property
     def current(self) -> bool:
-        """Whether a newer version would have been told."""
+        """Whether the leader would have announced a newer version."""
         return self.current_for > 0
 
     @property
     def current_for(self) -> float:
-        """Seconds until the giver's word has to be followed by another one, 0 at least."""
-        told = self._told
-        ends_at = min(told.read_at + self._current_seconds, told.heard_at + SILENT_SECONDS)
+        """Seconds for which the last update stays current without another one, at least 0."""
+        last = self._announced
+        ends_at = min(last.read_at + self._current_seconds, last.received_at + SILENT_SECONDS)
         return max(0.0, ends_at - time.monotonic())
 
     @property
     def version(self) -> int:
-        """The newest version that was told, 0 for none."""
-        return self._told.version
+        """The version that was announced last, 0 for none."""
+        return self._announced.version
 
     @property
     def age(self) -> float:
-        """Seconds since the version told last was confirmed to be the newest."""
-        return time.monotonic() - self._told.read_at
+        """Seconds since the leader last found the announced version to be the newest."""
+        return time.monotonic() - self._announced.read_at
 
     def wait_for_newer(self, version: int, seconds: float) -> bool:
-        """Return whether a version above ``version`` is told within ``seconds``."""
+        """Return whether a version above ``version`` is announced within ``seconds``."""
         with self._condition:
-            return self._condition.wait_for(lambda: self._told.version > version, seconds)
+            return self._condition.wait_for(lambda: self._announced.version > version, seconds)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/service_rule.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/service_rule.py
@@ -1,4 +1,4 @@
-"""What the configuration says about a service and the engines behind it."""
+"""Configuration of a service and of the engines behind it."""
 
 from typing import NamedTuple
 
@@ -6,8 +6,8 @@
 class ModelRule(NamedTuple):
     """Size and load times of a model.
 
-    A load takes ``memory_seconds`` or ``disk_seconds`` where the upstream still
-    has a copy there, else ``cold_seconds`` from the weight store.
+    A load takes ``memory_seconds`` or ``disk_seconds`` if the upstream still has a copy in
+    memory or on disk, otherwise ``cold_seconds`` from the weight store.
     """
 
     name: str
@@ -20,7 +20,7 @@
 
 
 class EngineRule(NamedTuple):
-    """What one upstream of a model service can hold and run."""
+    """Capacity of one upstream of a model service."""
 
     batch_slots: int
     cache_tokens: int
@@ -33,7 +33,8 @@
 class ServiceRule(NamedTuple):
     """A service; ``engine`` is None for one that runs no models.
 
-    ``most_connections`` is what one upstream takes from all instances together.
+    ``most_connections`` is how many connections one upstream accepts from all instances
+    together.
     """
 
     name: str
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/table_record.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/table_record.py
@@ -1,4 +1,4 @@
-"""A route table as instances pass it on to each other."""
+"""Encoding of a route table in messages between instances."""
 
 import msgspec
 
@@ -15,7 +15,7 @@
 
 
 class _TableRecord(msgspec.Struct, array_like=True):
-    """Keys are in it by their digests alone."""
+    """Contains the digests of keys, never the keys."""
 
     version: int
     routes: list[Route]
@@ -25,7 +25,7 @@
 
 
 def encode_table(table: RouteTable) -> bytes:
-    """Return ``table`` as `decode_table` reads it."""
+    """Return ``table`` in the encoding that `decode_table` reads."""
     services = list(table.services_by_name.values())
     workspaces = None if table.keys is None else _workspaces(table.keys)
     record = _TableRecord(table.version, list(table.routes), services, table.limits, workspaces)
@@ -33,7 +33,10 @@
 
 
 def decode_table(data: bytes) -> RouteTable:
-    """Return the table in ``data``; raise `msgspec.DecodeError`."""
+    """Return the table in ``data``.
+
+    Raises `msgspec.DecodeError` if ``data`` is invalid.
+    """
     record = msgspec.msgpack.decode(data, type=_TableRecord)
     return RouteTable(
         record.version,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/urgency.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/urgency.py
@@ -1,18 +1,19 @@
-"""Which requests go first."""
+"""The urgency of requests: which ones are served first."""
 
 from typing import NamedTuple
 
-# Each rank doubles the weight, as it does for callers' shares of a full instance.
+# Each rank doubles the weight, as for callers' shares of an instance at full load.
 WEIGHT_STEP = 2.0
-# Requests of this rank count once.
+# Requests of this rank have weight 1.
 DEFAULT_PRIORITY = 1
 LOWEST_PRIORITY = 3
-# The least urgent route of a workspace counts more than the most urgent one of the next.
+# The least urgent route of a workspace has more weight than the most urgent route of a
+# workspace of the next rank.
 WORKSPACE_WEIGHT_STEP = WEIGHT_STEP ** (LOWEST_PRIORITY + 1)
 
 
 class Urgency(NamedTuple):
-    """Ranks, 0 the most urgent: a workspace's goes before its route's.
+    """Ranks, 0 the most urgent; a workspace's rank takes precedence over its route's.
 
     ``workspace`` is one of ``workspaces`` different ranks.
     """
@@ -23,15 +24,15 @@
 
     @property
     def weight(self) -> float:
-        """How much more a request counts than a less urgent one."""
+        """Weight of a request, higher for a more urgent one."""
         of_route = WEIGHT_STEP ** (DEFAULT_PRIORITY - min(self.route, LOWEST_PRIORITY))
         return float(of_route / WORKSPACE_WEIGHT_STEP**self.workspace)
 
     def level(self, levels: int, *, late: bool) -> int:
-        """Return which of ``levels`` the request has, 0 the first.
+        """Return which of ``levels`` the request has; level 0 is served first.
 
-        Each workspace's rank gets as many of them; within it, two for each rank of
-        routes, the second one for requests whose latency target is ``late``.
+        Each workspace rank gets the same number of levels. Within it, each route rank has
+        two, the second one for requests that are ``late`` for their latency target.
         """
         each = max(1, levels // self.workspaces)
         within = min(each - 1, self.route * 2 + (1 if late else 0))
