--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/urgency.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/urgency.py
@@ -32,7 +32,7 @@
         """Return which of ``levels`` the request has; level 0 is served first.
 
         Each workspace rank gets the same number of levels. Within it, each route rank has
-        two, the second one for requests that are ``late`` for their latency target.
+        two, the second one for requests with a long latency target (``late``).
         """
         each = max(1, levels // self.workspaces)
         within = min(each - 1, self.route * 2 + (1 if late else 0))
