--- a/packages/redwingscale-daemon/tests/unit/routes/test_change_in_time.py
+++ b/packages/redwingscale-daemon/tests/unit/routes/test_change_in_time.py
@@ -1,4 +1,4 @@
-"""When a change is in force at an instance that relies on the order giver's word."""
+"""When a change is in force at an instance that relies on the leader's updates."""
 
 import time
 
@@ -20,7 +20,7 @@
 
 
 class Clock:
-    """Simulated time: what waits moves it on."""
+    """Simulated time, advanced by sleeping."""
 
     def __init__(self):
         self.now = 100.0
@@ -30,7 +30,7 @@
 
 
 class Store:
-    """Answers with the newest version; some calls get no answer."""
+    """Answers with the newest version; the next ``lost`` calls get no answer."""
 
     def __init__(self, clock):
         self.version = 1
@@ -71,7 +71,7 @@
 
 
 def in_force_after(clock, store, versions, in_force_seconds):
-    """Return how long version 2 takes that is confirmed just after the giver's last word."""
+    """Return how long version 2 takes if it is confirmed just after the leader's last update."""
     routes = CurrentRoutes()
     follower = RouteFollower(
         store,
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("in_force_seconds", [2.0, 3.0])
-def test_change_is_in_time_though_the_giver_falls_silent_and_one_read_is_lost(
+def test_change_is_in_time_if_the_leader_falls_silent_and_one_read_is_lost(
     clock, store, in_force_seconds
 ):
     # Guards against requests that are refused as unknown after their route was confirmed.
--- a/packages/redwingscale-daemon/tests/unit/routes/test_route_follower.py
+++ b/packages/redwingscale-daemon/tests/unit/routes/test_route_follower.py
@@ -1,4 +1,4 @@
-"""Who reads the configuration, and when."""
+"""When an instance reads the configuration from the store."""
 
 import pytest
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
@@ -13,7 +13,7 @@
 
 
 class Store:
-    """One row whose value is its version; counts the reads."""
+    """One row whose value is its version; records the reads."""
 
     def __init__(self):
         self.value = 1
@@ -59,14 +59,14 @@
     return RouteFollower(store, ROW, decode, routes, state, versions, lambda: False)
 
 
-def test_nothing_is_read_while_the_giver_tells(follower, store, versions):
+def test_nothing_is_read_while_the_leader_sends_updates(follower, store, versions):
     follower.step()
     versions.take(1, 0.0)
     follower.step()
     assert store.reads == ["read"]
 
 
-def test_newer_version_that_the_giver_tells_is_read_at_once(follower, store, versions, routes):
+def test_newer_version_that_the_leader_announces_is_read_at_once(follower, store, versions, routes):
     follower.step()
     store.value = 2
     versions.take(2, 0.0)
@@ -75,16 +75,16 @@
     assert store.reads == ["read", "read"]
 
 
-def test_giver_that_no_longer_reads_is_not_relied_on(follower, store, versions):
-    # The giver is cut off from the store and goes on telling the version that it
-    # knows: an operator's change would be in force only when it is replaced.
+def test_leader_that_no_longer_reads_is_not_relied_on(follower, store, versions):
+    # Guards against a leader that is cut off from the store and keeps announcing an old
+    # version: an operator's change would be in force only under its successor.
     follower.step()
     versions.take(1, 2.0)
     follower.step()
     assert store.reads == ["read", "changes"]
 
 
-def test_newer_version_that_cannot_be_read_is_asked_for_again(follower, store, versions, routes):
+def test_read_of_a_newer_version_is_retried(follower, store, versions, routes):
     follower.step()
     store.value, store.fail = 2, True
     versions.take(2, 0.0)
@@ -95,10 +95,10 @@
 
 
 @pytest.mark.parametrize(("fetched", "reads"), [(True, 1), (False, 2)])
-def test_version_that_is_told_comes_from_the_giver_if_it_can(
+def test_announced_version_is_fetched_from_the_leader_if_possible(
     store, versions, routes, fetched, reads
 ):
-    """Guards against a call to the store by each instance for each version."""
+    # Guards against a call to the store by each instance for each version.
 
     def fetch_announced():
         return fetched and routes.offer(decode(b"2"))
--- a/packages/redwingscale-daemon/tests/unit/routes/test_route_table.py
+++ b/packages/redwingscale-daemon/tests/unit/routes/test_route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which version of the table."""
+"""Which route a request takes, and which version of the table is in force."""
 
 import random
 
@@ -46,9 +46,9 @@
     assert table(1, "/").find("b.example", "/") is None
 
 
-def test_older_version_is_never_taken():
-    # An operator moves a route; a read that began before and was answered late
-    # brings the old table back, and callers reach the service that was left.
+def test_older_version_is_ignored():
+    # Guards against a read that began before a change of a route and is answered late: the
+    # old table would return, and requests would reach the former service.
     current = CurrentRoutes()
     assert current.offer(table(7, "/"))
     assert not current.offer(table(6, "/"))
@@ -71,5 +71,5 @@
         (Idempotency.STREAM, True, True),
     ],
 )
-def test_what_may_be_repeated(kind, resumable, repeatable):
+def test_repeatable_requests(kind, resumable, repeatable):
     assert route("/", idempotency=kind, resumable=resumable).repeatable is repeatable
