--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -41,7 +41,7 @@
 
     ``first_event_ms`` is the expected time to the first event at latency factor 1,
     ``expected_ms`` the same with the upstream's latency factor, and ``queue_ms`` the part
-    of it that is spent on other requests. ``kept_tokens`` tokens of the prompt are cached
+    of it that is spent on other requests. ``cached_tokens`` tokens of the prompt are cached
     at the upstream. ``among`` is the number of candidates that it was chosen from.
     """
 
@@ -50,7 +50,7 @@
     first_event_ms: float = 0.0
     expected_ms: float = 0.0
     queue_ms: float = 0.0
-    kept_tokens: int = 0
+    cached_tokens: int = 0
     among: int = 1
 
 
@@ -129,16 +129,16 @@
 
     def _prompt_candidate(self, upstream: Upstream, prompt: Prompt, home: str) -> Candidate:
         load = self._load_tracker.total(upstream.id)
-        kept = self._prefixes.kept_tokens(upstream.id, prompt)
-        if not kept and upstream.id == home:
-            kept = _shared_tokens(prompt) // 2
-        own = max(0, prompt.tokens_in - kept) / PROMPT_TOKENS_PER_MS
+        cached = self._prefixes.cached_tokens(upstream.id, prompt)
+        if not cached and upstream.id == home:
+            cached = _shared_tokens(prompt) // 2
+        own = max(0, prompt.tokens_in - cached) / PROMPT_TOKENS_PER_MS
         others = load.prompt_tokens / PROMPT_TOKENS_PER_MS + load.requests * RUNNING_REQUEST_MS
         beyond = max(0, load.requests + 1 - upstream.slots) * BATCH_FULL_COST_MS
         factor = self._latency_factors.factor(upstream.id)
         queue = others * factor + beyond
         expected = queue + own * factor
-        return Candidate(expected, upstream, own + others, expected, queue, kept)
+        return Candidate(expected, upstream, own + others, expected, queue, cached)
 
     def _cheapest(
         self, candidates: list[Candidate], *, compare_all: bool = False
@@ -162,8 +162,8 @@
         if count >= len(among):
             return among
         sample = self._random.sample(among, count)
-        most_kept = max(among, key=lambda one: one.kept_tokens)
-        return [*sample, most_kept] if most_kept.kept_tokens else sample
+        most_cached = max(among, key=lambda one: one.cached_tokens)
+        return [*sample, most_cached] if most_cached.cached_tokens else sample
 
     def _extra_ms(self, upstream: Upstream) -> float:
         extra = self._random.random() * NOISE_MS
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/prefix_memory.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/prefix_memory.py
@@ -28,17 +28,17 @@
             while len(chains) > MAX_CHAINS_PER_UPSTREAM:
                 chains.popitem(last=False)
 
-    def kept_tokens(self, upstream_id: str, prompt: Prompt) -> int:
+    def cached_tokens(self, upstream_id: str, prompt: Prompt) -> int:
         """Return how many tokens of ``prompt`` the upstream has probably cached."""
         chains = self._chains_by_upstream.get(upstream_id)
         if not chains:
             return 0
-        kept = 0
+        cached = 0
         for chain, tokens in _chains(prompt):
             if chain not in chains:
                 break
-            kept += tokens
-        return kept
+            cached += tokens
+        return cached
 
     def forget(self, upstream_ids: set[str]) -> None:
         """Drop upstreams that are gone."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -86,7 +86,7 @@
             load = self._parts.load_tracker.total(upstream.id)
             backpressure = self._parts.backpressure.state(upstream.id)
             call.attempts.begin(call.terms.request_id, candidate, load, backpressure)
-            kept = self._prefixes.kept_tokens(upstream.id, prompt)
+            kept = self._prefixes.cached_tokens(upstream.id, prompt)
             unread = max(0, prompt.tokens_in - kept)
             ticket = self._parts.load_tracker.open_ticket(upstream.id, prompt.unit, unread)
             self._prefixes.sent(upstream.id, prompt)
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_starts.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_starts.py
@@ -44,10 +44,10 @@
     fleet.latency_factors.observe("w@1", 100.0, 500.0)
     fleet.directory.replace([start(2, 2)])
     assert holders(fleet) == []
-    assert fleet.prefixes.kept_tokens("w@2", PROMPT) == 0
+    assert fleet.prefixes.cached_tokens("w@2", PROMPT) == 0
     assert not fleet.health.is_avoided("w@2")
     assert fleet.latency_factors.factor("w@2") == 1.0
-    assert fleet.prefixes.kept_tokens("w@1", PROMPT) == 0
+    assert fleet.prefixes.cached_tokens("w@1", PROMPT) == 0
 
 
 def test_stale_read_of_the_list_does_not_bring_the_former_start_back(fleet):
