--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/chooser.py
@@ -76,7 +76,7 @@
 
     def choose_plain(self, service: str, tried: Collection[str]) -> Candidate | None:
         """Return the cheapest upstream of a plain service that is not in ``tried``."""
-        upstreams = self._ready(self._of_plain(service, tried))
+        upstreams = self._sendable(self._plain_upstreams(service, tried))
         return self._cheapest([Candidate(self._plain_cost(u), u) for u in upstreams])
 
     def choose_holder(
@@ -92,20 +92,20 @@
         With many instances only a sample of the holders is compared, unless
         ``compare_all`` is set.
         """
-        holders = self._ready(self._holders(service, prompt, tried))
-        home = _home(prompt, holders)
+        holders = self._sendable(self._holders(service, prompt, tried))
+        home = _home_id(prompt, holders)
         candidates = [self._prompt_candidate(u, prompt, home) for u in holders]
         return self._cheapest(candidates, compare_all=compare_all)
 
     def throttled_plain(self, service: str, tried: Collection[str]) -> list[str]:
         """Return the ids that `choose_plain` skips because of rate limits or retry times."""
-        return self._throttled(self._of_plain(service, tried)) if self._gate.known else []
+        return self._throttled(self._plain_upstreams(service, tried)) if self._gate.known else []
 
     def throttled_holders(self, service: str, prompt: Prompt, tried: Collection[str]) -> list[str]:
         """Return the ids that `choose_holder` skips because of rate limits or retry times."""
         return self._throttled(self._holders(service, prompt, tried)) if self._gate.known else []
 
-    def _of_plain(self, service: str, tried: Collection[str]) -> list[Upstream]:
+    def _plain_upstreams(self, service: str, tried: Collection[str]) -> list[Upstream]:
         usable = self._directory.usable(service)
         return [u for u in usable if u.id not in tried and not self._health.is_replaced(u.id)]
 
@@ -113,7 +113,7 @@
         holders = self._directory.holders(service, prompt.unit)
         return [u for u in holders if u.id not in tried and not self._health.is_unreachable(u.id)]
 
-    def _ready(self, upstreams: list[Upstream]) -> list[Upstream]:
+    def _sendable(self, upstreams: list[Upstream]) -> list[Upstream]:
         """Return the upstreams whose rate limits and retry times allow a request now."""
         if not self._gate.known:
             return upstreams
@@ -180,7 +180,7 @@
     return sum(part.tokens for part in prompt.parts[:-1])
 
 
-def _home(prompt: Prompt, holders: list[Upstream]) -> str:
+def _home_id(prompt: Prompt, holders: list[Upstream]) -> str:
     """Return the id of the holder that all instances prefer for this chain of shared parts.
 
     Each instance knows only which prompts it sent itself. Since all instances compute the
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_follower.py
@@ -62,7 +62,7 @@
             return
         self._retry.answered()
         rows, version = snapshot
-        listed = [upstream for row in rows if (upstream := self._upstream(row))]
+        listed = [upstream for row in rows if (upstream := self._decode_row(row))]
         self._forget_faults(row.key.key for row in rows)
         lapsed = self._lapsed(listed, version)
         if self._directory.replace(listed, version, lapsed):
@@ -100,7 +100,7 @@
         self._missing_since = {one.id: self._missing_since[one.id] for one in kept}
         return kept
 
-    def _upstream(self, row: StoredRow) -> Upstream | None:
+    def _decode_row(self, row: StoredRow) -> Upstream | None:
         """Return the upstream that an entry describes, None if the entry is invalid.
 
         Any process may write to the list, so one entry that can't be decoded does not
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_reads.py
@@ -33,12 +33,12 @@
         # Whether the leader's updates replace a read, by the monotonic time of the last one.
         self._replaces_read = replaces_read
         self._leader_silent = leader_silent
-        self._min_seconds = leave_seconds * OWN_READ_FRACTION
+        self._own_read_seconds = leave_seconds * OWN_READ_FRACTION
 
     def not_due(self, last_read_at: float) -> bool:
         """Return whether no read is due; ``last_read_at`` is monotonic."""
         since = time.monotonic() - last_read_at
         if self._is_leader():
             return since < READ_FOR_ALL_SECONDS
-        recent = since < self._min_seconds
+        recent = since < self._own_read_seconds
         return recent or (self._replaces_read(last_read_at) and not self._leader_silent())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
@@ -87,7 +87,7 @@
         self._request_report = request_report
         # Whether one more request may be sent to an upstream, by its id.
         self._may_request = may_request
-        self._list_seconds = leave_seconds * FRESH_LIST_FRACTION
+        self._fresh_list_seconds = leave_seconds * FRESH_LIST_FRACTION
         # Exists only while reports are requested: its threads would be idle for hours
         # between two network partitions.
         self._pool: ThreadPoolExecutor | None = None
@@ -114,7 +114,7 @@
         # every instance query every upstream whenever the leader pauses. A failed read
         # shows a partition just as early.
         return self.leader_silent and (
-            self._list.age > self._list_seconds
+            self._list.age > self._fresh_list_seconds
             or (self._list.lost and self._list.age > SILENT_SECONDS)
         )
 
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
@@ -26,7 +26,7 @@
 
 
 # A single run of a small deployment varies by four failed requests.
-PLAYS = 8
+RUNS = 8
 
 
 class Shape(NamedTuple):
@@ -61,7 +61,7 @@
             chooser._random = random.Random(f"{seed}-{number}")
         self.leader = FailingUpstreams()
 
-    def play(self, seconds, grey):
+    def run(self, seconds, grey):
         """Return the fraction of the requests that their first upstream failed."""
         failed = sent = 0
         for _ in range(int(seconds / UPDATE_SECONDS)):
@@ -101,20 +101,20 @@
     # their requests within milliseconds and pass their health checks: an instance that
     # counts only its own failures detects this late and forgets it within seconds.
     ratios = []
-    for seed in range(PLAYS):
+    for seed in range(RUNS):
         deployment = Deployment(shape, clock, seed)
-        assert deployment.play(2.0, grey=0) == 0
-        deployment.play(1.0, grey=shape.grey)
-        ratios.append(deployment.play(5.0, grey=shape.grey))
+        assert deployment.run(2.0, grey=0) == 0
+        deployment.run(1.0, grey=shape.grey)
+        ratios.append(deployment.run(5.0, grey=shape.grey))
     evenly = shape.grey / shape.upstreams * shape.failure_ratio
-    assert sum(ratios) / PLAYS < 0.4 * evenly
+    assert sum(ratios) / RUNS < 0.4 * evenly
 
 
 def test_recovered_upstream_has_no_failure_ratio(clock):
     shape = SHAPES[0]
     deployment = Deployment(shape, clock)
-    deployment.play(4.0, grey=shape.grey)
-    deployment.play(10.0, grey=0)
+    deployment.run(4.0, grey=shape.grey)
+    deployment.run(10.0, grey=0)
     assert deployment.leader.ratios() == {}
 
 
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_many_instances.py
@@ -47,10 +47,10 @@
         return Candidate(0.0, self.random.choice(holders))
 
 
-class Play:
+class Simulation:
     """Simulation that runs events in order of time on a clock of its own."""
 
-    def __init__(self, shape, clock, seed, drawn=False):
+    def __init__(self, shape, clock, seed, baseline=False):
         self.shape, self.clock = shape, clock
         self.random = random.Random(seed)
         resident = {"m": ResidentModel("m", 1, frozenset())}
@@ -65,7 +65,7 @@
             fleet.directory.replace(listed)
             chooser = Chooser(f"z{number % 3}", fleet, lambda: shape.instances)
             chooser._random = random.Random(seed * 1000 + number)
-            self.choosers.append(RandomHolder(fleet, chooser._random) if drawn else chooser)
+            self.choosers.append(RandomHolder(fleet, chooser._random) if baseline else chooser)
         self.free_at = {one.id: 0.0 for one in listed}
         self.waits = []
         self.events = []
@@ -153,12 +153,12 @@
     # Guards against about a hundred instances that all choose the same holder as the least
     # loaded one until the next update a quarter of a second later: its queue grows to a
     # second while others are idle, which is worse than a random choice.
-    chosen = long_waits(Play(shape, clock, seed=1).run(), shape)
-    drawn = long_waits(Play(shape, clock, seed=1, drawn=True).run(), shape)
-    assert chosen <= drawn
+    chosen = long_waits(Simulation(shape, clock, seed=1).run(), shape)
+    baseline = long_waits(Simulation(shape, clock, seed=1, baseline=True).run(), shape)
+    assert chosen <= baseline
     if shape.tokens_per_ms * UPDATE_SECONDS * 1000 < LONGEST_QUEUE * USUAL_TOKENS:
         # With other shapes the updates are older than a queue lasts, and help little.
-        assert chosen <= drawn / 2
+        assert chosen <= baseline / 2
 
 
 def test_few_instances_choose_the_least_loaded_holder(clock):
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
@@ -10,10 +10,10 @@
 from redwingscale_standins.rate_limits.model import UPSTREAM, History, RateModel
 
 # Number of random histories in each test.
-DRAWN = 150
+HISTORIES = 150
 
 
-def drawn_histories(instances, giver_ends_at, lost_fractions=(0.0, 0.05, 0.2)):
+def random_histories(instances, giver_ends_at, lost_fractions=(0.0, 0.05, 0.2)):
     draw = random.Random(7)
     return [
         History(
@@ -25,13 +25,13 @@
             next_giver_after=draw.choice([0.25, 1.0, 5.0]),
             seed=draw.randrange(10_000),
         )
-        for _ in range(DRAWN)
+        for _ in range(HISTORIES)
     ]
 
 
 def exceeded(histories):
-    played = [RateModel(history).run() for history in histories]
-    return [model.history for model in played if model.most_in_window() > model.allowed()]
+    models = [RateModel(history).run() for history in histories]
+    return [model.history for model in models if model.most_in_window() > model.allowed()]
 
 
 @pytest.fixture(autouse=True)
@@ -44,25 +44,25 @@
 def test_few_instances_keep_a_rate_limit_whatever_happens_to_the_leader():
     # Guards against instances that each apply a limit separately, and against two leaders
     # that both issue permits for it.
-    histories = drawn_histories([1, 2, 6], [1.0, 2.1, 5.0, 8.0, math.inf], (0.0, 0.2, 0.6))
+    histories = random_histories([1, 2, 6], [1.0, 2.1, 5.0, 8.0, math.inf], (0.0, 0.2, 0.6))
     assert exceeded(histories) == []
 
 
 def test_many_instances_keep_a_rate_limit_when_the_leader_is_lost_later():
     # Guards against a hundred instances that use their fractions of a limit simultaneously.
-    assert exceeded(drawn_histories([24, 67], [3.5, 5.0, 8.0, math.inf])) == []
+    assert exceeded(random_histories([24, 67], [3.5, 5.0, 8.0, math.inf])) == []
 
 
 def test_many_instances_keep_a_rate_limit_when_the_leader_is_lost_as_a_limit_begins():
     # Guards against instances that each learn of a limit from a request of their own.
-    assert exceeded(drawn_histories([24, 67], [1.0, 2.1])) == []
+    assert exceeded(random_histories([24, 67], [1.0, 2.1])) == []
 
 
 def test_many_instances_keep_a_rate_limit_when_the_load_rises_as_it_is_advertised():
     # Guards against an excess of requests before the instances learn of a limit.
     assert exceeded([History(67, 1.0, asked=30.0)]) == []
-    drawn = [History(n, 1.0, asked=30.0, seed=seed) for n in (24, 67) for seed in range(2, 12)]
-    assert exceeded(drawn) == []
+    histories = [History(n, 1.0, asked=30.0, seed=seed) for n in (24, 67) for seed in range(2, 12)]
+    assert exceeded(histories) == []
 
 
 @pytest.mark.parametrize("instances", [1, 6, 67, 372])
