--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
@@ -42,7 +42,8 @@
     """Rate limits by upstream id, for as long as the upstreams advertise them.
 
     A limit applies to all instances together: an instance sends to a limited upstream only
-    with permits that the leader has issued to it.
+    with permits that the leader has issued to it. Without a leader it gives itself a
+    fraction of the limit, see `SendPermits`.
     """
 
     def __init__(
