--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/own_reports.py
@@ -135,7 +135,9 @@
             self._end_pool()
             return
         if self._pool is None:
-            self._pool = ThreadPoolExecutor(MAX_REQUESTS_PER_ROUND, thread_name_prefix="own-reports")
+            self._pool = ThreadPoolExecutor(
+                MAX_REQUESTS_PER_ROUND, thread_name_prefix="own-reports"
+            )
         queried = [one for one in self._next_round() if self._may_request(one.id)]
         answers = [*map(_Answer, queried, self._pool.map(self._request_report, queried))]
         now = time.monotonic()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/residency.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/residency.py
@@ -33,13 +33,17 @@
         self._reported: dict[str, tuple[AdaptersByModel, float]] = {}
         self._fence: int | None = None
 
-    def replace(self, resident: dict[str, AdaptersByModel], ready_in: dict[str, float], fence: int = 0) -> None:
+    def replace(
+        self, resident: dict[str, AdaptersByModel], ready_in: dict[str, float], fence: int = 0
+    ) -> None:
         """Take a full view that was just received from the leader with ``fence``."""
         with self._lock:
             self._fence = fence
             self._view = ResidencyView(resident, ready_in, time.monotonic())
 
-    def update(self, resident: dict[str, AdaptersByModel], ready_in: dict[str, float], fence: int) -> None:
+    def update(
+        self, resident: dict[str, AdaptersByModel], ready_in: dict[str, float], fence: int
+    ) -> None:
         """Take changes to the view of the leader with ``fence``.
 
         Changes from another leader are ignored until its full view is received.
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_failing_upstreams.py
@@ -42,7 +42,17 @@
 def upstream(number):
     resident = {"m": ResidentModel("m", 1, frozenset())}
     return Upstream(
-        f"u{number}", "llm", "127.0.0.1", 1, "z1", 16, False, None, resident, frozenset(), frozenset()
+        f"u{number}",
+        "llm",
+        "127.0.0.1",
+        1,
+        "z1",
+        16,
+        False,
+        None,
+        resident,
+        frozenset(),
+        frozenset(),
     )
 
 
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_leaving_in_time.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_leaving_in_time.py
@@ -6,7 +6,6 @@
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.list_follower import ListFollower
-from redwingscale_daemon._internal.fleet.list_update_tracker import ListUpdateTracker
 from redwingscale_daemon._internal.fleet.list_reads import READ_CHECK_SECONDS, ListReads
 from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.list_update_tracker import ListUpdateTracker
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_list_after_a_cut.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_list_after_a_cut.py
@@ -389,7 +389,9 @@
 @given(stretches=st.lists(STRETCHES, max_size=8))
 # The store answers the leader from an old state for so long that the leader's reads are
 # newer than its former copy: its updates seem current.
-@example([(False, True, "leader behind", "", 4.0), (False, True, "leader behind", "remove u1", 2.5)])
+@example(
+    [(False, True, "leader behind", "", 4.0), (False, True, "leader behind", "remove u1", 2.5)]
+)
 def test_an_instance_in_touch_agrees_with_the_list(stretches):
     # After any sequence of network partitions and list changes: an instance that has
     # reached the store for three seconds uses no upstream that left two seconds ago, and
--- a/packages/redwingscale-daemon/tests/unit/fleet/test_list_update_tracker.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_list_update_tracker.py
@@ -60,9 +60,7 @@
     assert ids(directory) == {"u1", "u2"}
 
 
-def test_updates_replace_reads_only_after_an_own_read_under_this_leader(
-    tracker, directory, later
-):
+def test_updates_replace_reads_only_after_an_own_read_under_this_leader(tracker, directory, later):
     # Guards against an upstream that is used forever: it was listed under the former
     # leader and went before the new leader's first read, which therefore never announces
     # that it is gone.
