--- a/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
@@ -13,7 +13,7 @@
 HISTORIES = 150
 
 
-def random_histories(instances, giver_ends_at, lost_fractions=(0.0, 0.05, 0.2)):
+def random_histories(instances, leader_ends_at, lost_fractions=(0.0, 0.05, 0.2)):
     draw = random.Random(7)
     return [
         History(
@@ -21,7 +21,7 @@
             rate=draw.choice([0.0, 0.4, 1.0, 2.5, 10.0]),
             asked=draw.choice([1.0, 4.0, 12.0]),
             lost_part=draw.choice(lost_fractions),
-            giver_ends_at=draw.choice(giver_ends_at),
+            giver_ends_at=draw.choice(leader_ends_at),
             next_giver_after=draw.choice([0.25, 1.0, 5.0]),
             seed=draw.randrange(10_000),
         )
