--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -106,7 +106,9 @@
         """
         if _overloaded(call, found) is None:
             return found
-        best = self.chooser.choose_holder(call.service, prompt, call.attempts.tried, compare_all=True)
+        best = self.chooser.choose_holder(
+            call.service, prompt, call.attempts.tried, compare_all=True
+        )
         refusal = _overloaded(call, best or found)
         if refusal is None:
             return best or found
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -125,7 +125,9 @@
             case Lost():
                 if not progress.events:
                     waited = call.attempts.waited() * MILLISECONDS
-                    self._parts.latency_factors.observe(upstream.id, candidate.first_event_ms, waited)
+                    self._parts.latency_factors.observe(
+                        upstream.id, candidate.first_event_ms, waited
+                    )
                 return self._try_another(call, outcome)
             case NotRun():
                 return self._try_another(call, outcome)
@@ -174,7 +176,9 @@
                 begun = True
                 ticket.note_prompt_read()
                 real = call.attempts.first_event() * MILLISECONDS
-                self._parts.latency_factors.observe(answering.upstream.id, candidate.first_event_ms, real)
+                self._parts.latency_factors.observe(
+                    answering.upstream.id, candidate.first_event_ms, real
+                )
                 if real / MILLISECONDS > call.route.latency_target_seconds:
                     self._note_late(call)
             call.watch.silence_seconds = STREAM_SILENCE_SECONDS if call.route.resumable else None
