--- a/benchmarks/giver_news.py
+++ b/benchmarks/giver_news.py
@@ -8,18 +8,18 @@
 import time
 
 import msgspec
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream import ResidentModel, Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
 from redwingscale_daemon._internal.swaps.demand import Demand, WaitingUnit
 from redwingscale_daemon._internal.swaps.messages import (
-    GiverNews,
-    HeldEntry,
-    InstanceNews,
+    DemandEntry,
+    InstanceUpdate,
+    LeaderUpdate,
     LoadEntry,
-    NeedEntry,
-    StoreNews,
+    ResidencyEntry,
+    StoreUpdate,
     UseEntry,
 )
 from redwingscale_daemon._internal.swaps.planner import Planner
@@ -66,26 +66,26 @@
     """Return the sizes of the messages, encoded as they are sent."""
     encode = msgspec.msgpack.Encoder().encode
     held = [
-        HeldEntry(view.upstream.id, {name: sorted(one) for name, one in view.held.items()})
+        ResidencyEntry(view.upstream.id, {name: sorted(one) for name, one in view.resident.items()})
         for view in views
     ]
     loads = [LoadEntry(view.upstream.id, 7, 12_000) for view in views]
-    store = StoreNews(123_456, ListTold([], [], 0.31, 2**63, 123_456), 42, 0.72)
+    store = StoreUpdate(123_456, ListUpdate([], [], 0.31, 2**63, 123_456), 42, 0.72)
 
-    def giver(entries: list[HeldEntry], sums: list[LoadEntry] | None) -> GiverNews:
-        return GiverNews(
+    def leader(entries: list[ResidencyEntry], sums: list[LoadEntry] | None) -> LeaderUpdate:
+        return LeaderUpdate(
             "edge-zone-a-1", 123, entries, sums is not None, {}, sums, instances, store
         )
 
     some = views[:OPEN_EACH]
-    needs = [NeedEntry(SERVICE, f"model{n:05}", "", 1, 0, 0.0) for n in range(4)]
+    demand = [DemandEntry(SERVICE, f"model{n:05}", "", 1, 0, 0.0) for n in range(4)]
     own_loads = [LoadEntry(view.upstream.id, 1, 1800) for view in some]
-    uses = [UseEntry(view.upstream.id, next(iter(view.held)), "a1", 1) for view in some]
+    uses = [UseEntry(view.upstream.id, next(iter(view.resident)), "a1", 1) for view in some]
     return {
-        "all_held_bytes": len(encode(giver(held, loads))),
-        "regular_bytes": len(encode(giver([], loads))),
-        "change_bytes": len(encode(giver(held[:1], None))),
-        "instance_bytes": len(encode(InstanceNews("edge-zone-a-1", needs, own_loads, uses, []))),
+        "all_held_bytes": len(encode(leader(held, loads))),
+        "regular_bytes": len(encode(leader([], loads))),
+        "change_bytes": len(encode(leader(held[:1], None))),
+        "instance_bytes": len(encode(InstanceUpdate("edge-zone-a-1", demand, own_loads, uses, []))),
     }
 
 
@@ -94,8 +94,8 @@
     names = list(engine.models_by_name)
     demand = Demand()
     asked = rng.sample(names, int(len(names) * ASKED_PART))
-    entries = [NeedEntry(SERVICE, name, "", rng.randint(1, 5), 0, 0.0) for name in asked]
-    demand.heard(InstanceNews("i", entries, [], [], []))
+    entries = [DemandEntry(SERVICE, name, "", rng.randint(1, 5), 0, 0.0) for name in asked]
+    demand.receive(InstanceUpdate("i", entries, [], [], []))
     waiting = [
         WaitingUnit(SERVICE, Unit(name), 2, 5.0)
         for name in rng.sample(names, max(1, int(len(names) * WAITING_PART)))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
@@ -2,19 +2,19 @@
 
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.configuration.board_versions import BoardVersions
 from redwingscale_daemon._internal.configuration.current import CurrentConfiguration
 from redwingscale_daemon._internal.configuration.peer_rosters import PeerRosters
 from redwingscale_daemon._internal.configuration.peer_texts import PeerTexts
+from redwingscale_daemon._internal.configuration.peer_versions import PeerVersions
 from redwingscale_daemon._internal.configuration.quorum import Quorum
 from redwingscale_daemon._internal.configuration.store import ConfigurationStore
-from redwingscale_daemon._internal.membership.beat_clock import BeatClock
-from redwingscale_daemon._internal.membership.board import Board
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
+from redwingscale_daemon._internal.membership.heartbeat_clock import HeartbeatClock
 from redwingscale_daemon._internal.membership.link import LinkTiming, Sender
 from redwingscale_daemon._internal.membership.listener import Listener
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.membership.mesh import Mesh
-from redwingscale_daemon._internal.membership.peer_beats import PeerBeats
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 from redwingscale_daemon._internal.membership.traffic import Traffic
 from redwingscale_daemon._internal.settings.settings import Settings
 from redwingscale_daemon._internal.store.store import Platform
@@ -24,14 +24,14 @@
 class Control(NamedTuple):
     """The parts, not started; ``tasks`` are the threads that drive them."""
 
-    board: Board
-    beats: PeerBeats
+    gossip: GossipState
+    heartbeats: PeerHeartbeats
     traffic: Traffic
     listener: Listener
     mesh: Mesh
     members: Members
     store: ConfigurationStore
-    versions: BoardVersions
+    versions: PeerVersions
     current: CurrentConfiguration
     tasks: list[Periodic]
 
@@ -39,14 +39,14 @@
 def build_control(settings: Settings, platform: Platform) -> Control:
     """Return the parts that ``settings`` describe."""
     me, peers, timing = settings.instance, settings.peers, settings.timing
-    board, beats, traffic = Board(me.id), PeerBeats(), Traffic()
+    gossip, heartbeats, traffic = GossipState(me.id), PeerHeartbeats(), Traffic()
     sender = Sender(
         instance=me.id,
         failure_domain=me.failure_domain,
         key=peers.key.encode(),
-        board=board,
-        beats=beats,
-        clock=BeatClock(),
+        gossip=gossip,
+        heartbeats=heartbeats,
+        clock=HeartbeatClock(),
         traffic=traffic,
         timing=LinkTiming(timing.heartbeat, timing.full_cycle),
     )
@@ -56,10 +56,10 @@
     members.on_change(mesh.update)
 
     store = ConfigurationStore(platform)
-    versions = BoardVersions(board, me.failure_domain)
+    versions = PeerVersions(gossip, me.failure_domain)
     rosters = PeerRosters(me, mesh, members, versions)
-    quorum = Quorum(len(peers.seeds), rosters, versions, beats, timing.lease)
-    current = CurrentConfiguration(store, board, versions, PeerTexts(mesh), quorum)
+    quorum = Quorum(len(peers.seeds), rosters, versions, heartbeats, timing.lease)
+    current = CurrentConfiguration(store, gossip, versions, PeerTexts(mesh), quorum)
     poll = Periodic("configuration", timing.configuration_poll, current.refresh)
     current.on_wake(poll.wake)
     tasks = [
@@ -67,4 +67,6 @@
         Periodic("mesh", timing.heartbeat, mesh.step),
         poll,
     ]
-    return Control(board, beats, traffic, listener, mesh, members, store, versions, current, tasks)
+    return Control(
+        gossip, heartbeats, traffic, listener, mesh, members, store, versions, current, tasks
+    )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.fleet.chooser import Chooser
 from redwingscale_daemon._internal.fleet.fleet import Fleet, new_fleet
 from redwingscale_daemon._internal.fleet.list_follower import ListFollower
-from redwingscale_daemon._internal.fleet.list_reads import LOOK_SECONDS, ListReads
+from redwingscale_daemon._internal.fleet.list_reads import READ_CHECK_SECONDS, ListReads
 from redwingscale_daemon._internal.fleet.own_reports import OwnReports
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 from redwingscale_daemon._internal.forwarding.connection_pool import ConnectionPool
@@ -103,7 +103,10 @@
     own_reports: OwnReports,
 ) -> tuple[Periodic, ...]:
     list_reads = ListReads(
-        swaps.gives, swaps.list_news.stands_in, lambda: own_reports.giver_silent, bounds.leave
+        swaps.is_leader,
+        swaps.list_updates.replaces_read,
+        lambda: own_reports.leader_silent,
+        bounds.leave,
     )
     route_follower = RouteFollower(
         store,
@@ -111,10 +114,10 @@
         configuration.decode_configuration,
         routes,
         reads.configuration,
-        swaps.route_news,
-        swaps.gives,
+        swaps.route_versions,
+        swaps.is_leader,
         bounds.configuration,
-        swaps.fetch_told,
+        swaps.fetch_announced,
     )
     list_follower = ListFollower(
         store,
@@ -122,11 +125,11 @@
         discovery.decode_upstream,
         fleet.directory,
         reads.upstreams,
-        list_reads.needless,
+        list_reads.not_due,
     )
     return (
         Periodic("configuration", 0.0, route_follower.step),
-        Periodic("upstreams", LOOK_SECONDS, list_follower.step),
+        Periodic("upstreams", READ_CHECK_SECONDS, list_follower.step),
     )
 
 
@@ -146,33 +149,33 @@
     rule = BudgetRule(bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window)
     budget = RepeatBudget(rule, swaps.instances)
     chooser = Chooser(settings.failure_domain, fleet, swaps.instances)
-    sender = Sender(pool, exchange, fleet.notices)
+    sender = Sender(pool, exchange, fleet.backpressure)
     parts = RelayParts(
         exchange,
         sender,
         chooser,
-        fleet.book,
+        fleet.load_tracker,
         fleet.health,
-        fleet.pace,
+        fleet.latency_factors,
         budget,
         fleet.gate,
-        fleet.notices,
+        fleet.backpressure,
     )
     wait = HolderWait(
         chooser,
         fleet.changes,
-        fleet.holdings,
-        swaps.needs,
+        fleet.residency,
+        swaps.local_demand,
         open_requests,
         fleet.gate,
-        lambda: own_reports.come_back_seconds,
+        lambda: own_reports.caller_retry_seconds,
     )
     return Entry(
         routes,
         exchange,
         PlainRelay(parts, fleet.changes),
         StreamRelay(parts, wait, fleet.prefixes),
-        swaps.needs,
+        swaps.local_demand,
         budget,
         open_requests,
         metrics,
@@ -192,14 +195,16 @@
 
     client = OrderClient(
         engine_calls(),
-        on_notice=lambda upstream, notice: fleet.notices.take(upstream, notice, "own report"),
+        on_backpressure=lambda upstream, backpressure: fleet.backpressure.take(
+            upstream, backpressure, "own report"
+        ),
         connect_seconds=CONNECT_SECONDS,
         answer_seconds=CONNECT_SECONDS,
     )
     return OwnReports(
         settings.failure_domain,
         fleet.directory,
-        fleet.holdings,
+        fleet.residency,
         reads.upstreams,
         runs_models,
         client.report,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -7,74 +7,74 @@
 from redwingscale_daemon._internal.fleet.fleet import Fleet
 from redwingscale_daemon._internal.lifecycle.ingress_instance import Task
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
-from redwingscale_daemon._internal.routes.route_news import RouteNews
+from redwingscale_daemon._internal.routes.route_version_tracker import RouteVersionTracker
 from redwingscale_daemon._internal.settings.ingress_settings import IngressSettings
-from redwingscale_daemon._internal.swaps.giver_lease import GiverLease
-from redwingscale_daemon._internal.swaps.peer_desk import KnownLease, PeerDesk
-from redwingscale_daemon._internal.swaps.peer_questions import PeerQuestions
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease
+from redwingscale_daemon._internal.swaps.peer_client import PeerClient
+from redwingscale_daemon._internal.swaps.peer_server import LeaseState, PeerServer
 from redwingscale_daemon._internal.swaps.rate_limit_gossip import RateLimitGossip
 from redwingscale_daemon._internal.utils.lasting import Lasting
 from redwingscale_daemon._internal.utils.periodic import Periodic
 
 # The first two of an instance's ports for others are those of the order giver's news.
-DESK_PORT = 2
+PEER_SERVER_PORT = 2
 # An instance that the store turns away asks its peers this often.
 QUESTION_SECONDS = 0.4
 # A version that was told is read from the store first.
 BEHIND_SECONDS = 0.3
 # An order giver that has been silent for longer may not tell in time of a rate limit.
-GIVER_SILENT_SECONDS = 0.5
+LEADER_SILENT_SECONDS = 0.5
 
 
 class Peers(NamedTuple):
-    """``fetch_told`` brings a configuration that the order giver has told."""
+    """``fetch_announced`` brings a configuration that the order giver has told."""
 
-    desk: PeerDesk
-    questions: PeerQuestions
+    server: PeerServer
+    client: PeerClient
     tasks: tuple[Task, ...]
-    fetch_told: Callable[[], bool]
+    fetch_announced: Callable[[], bool]
 
 
 def build_peers(
     settings: IngressSettings,
     routes: CurrentRoutes,
     reads: StoreReads,
-    route_news: RouteNews,
-    lease: GiverLease,
+    route_versions: RouteVersionTracker,
+    lease: LeaderLease,
     fleet: Fleet,
 ) -> Peers:
     """Return the parts, not started."""
     first_port = settings.peer_ports[0]
-    desk = PeerDesk(
+    peer_server = PeerServer(
         settings.host,
-        first_port + DESK_PORT if first_port else 0,
+        first_port + PEER_SERVER_PORT if first_port else 0,
         routes,
-        lambda: min(reads.configuration.age, route_news.age),
-        lambda: KnownLease(lease.row_version, lease.record),
-        fleet.rates.hear_peer,
+        lambda: min(reads.configuration.age, route_versions.age),
+        lambda: LeaseState(lease.row_version, lease.record),
+        fleet.rates.receive_from_peer,
     )
     behind = Lasting(BEHIND_SECONDS)
 
     def untold() -> bool:
         """Whether a newer configuration or order giver may be there that this one misses."""
         table = routes.get()
-        if route_news.current:
+        if route_versions.current:
             known = table.version if table else 0
-            return behind.lasts(route_news.version > known)
+            return behind.lasts(route_versions.version > known)
         return reads.configuration.lost or reads.configuration.age > settings.bounds.configuration
 
-    def fetch_told() -> bool:
+    def fetch_announced() -> bool:
         record = lease.record
         if record is None or not record.desk_port:
             return False
-        return questions.fetch(f"{record.host}:{record.desk_port}", route_news.version)
+        return peer_client.fetch(f"{record.host}:{record.desk_port}", route_versions.version)
 
-    questions = PeerQuestions(routes, untold, lease.told, lambda: desk.address)
-    asking = Periodic("peer-questions", QUESTION_SECONDS, questions.step)
+    peer_client = PeerClient(routes, untold, lease.adopt_record, lambda: peer_server.address)
+    asking = Periodic("peer-questions", QUESTION_SECONDS, peer_client.step)
     gossip = RateLimitGossip(
         fleet.rates,
-        questions.known,
-        lambda: not lease.holds and fleet.holdings.age > GIVER_SILENT_SECONDS,
-        questions.tell,
+        peer_client.addresses,
+        lambda: not lease.is_leader and fleet.residency.age > LEADER_SILENT_SECONDS,
+        peer_client.push,
     )
-    return Peers(desk, questions, (desk, asking, gossip), fetch_told)
+    return Peers(peer_server, peer_client, (peer_server, asking, gossip), fetch_announced)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -8,35 +8,35 @@
 from redwingscale_daemon._internal.composition.store_reads import StoreReads
 from redwingscale_daemon._internal.exceptions import PlatformError
 from redwingscale_daemon._internal.fleet.fleet import Fleet
-from redwingscale_daemon._internal.fleet.list_news import ListNews
-from redwingscale_daemon._internal.fleet.load_book import Load
+from redwingscale_daemon._internal.fleet.list_update_tracker import ListUpdateTracker
+from redwingscale_daemon._internal.fleet.load_tracker import Load
 from redwingscale_daemon._internal.lifecycle.ingress_instance import Task
 from redwingscale_daemon._internal.platform import engine, exchange
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
-from redwingscale_daemon._internal.routes.route_news import RouteNews
+from redwingscale_daemon._internal.routes.route_version_tracker import RouteVersionTracker
 from redwingscale_daemon._internal.settings.ingress_settings import IngressSettings, Machine
 from redwingscale_daemon._internal.store.backoff import Backoff
 from redwingscale_daemon._internal.store.rows import RowStore
 from redwingscale_daemon._internal.swaps.demand import Demand
-from redwingscale_daemon._internal.swaps.giver_hub import GiverHub
-from redwingscale_daemon._internal.swaps.giver_lease import GiverLease, GiverRecord, LeaseTiming
-from redwingscale_daemon._internal.swaps.giver_link import GiverLink
 from redwingscale_daemon._internal.swaps.instance_count import InstanceCount
+from redwingscale_daemon._internal.swaps.leader import Leader
+from redwingscale_daemon._internal.swaps.leader_client import LeaderClient
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
+from redwingscale_daemon._internal.swaps.leader_server import LeaderServer
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling
+from redwingscale_daemon._internal.swaps.local_demand import LocalDemand
 from redwingscale_daemon._internal.swaps.messages import (
-    GiverNews,
-    InstanceNews,
+    InstanceUpdate,
+    LeaderUpdate,
     LoadEntry,
     OutcomeEntry,
-    StoreNews,
+    StoreUpdate,
     UseEntry,
 )
-from redwingscale_daemon._internal.swaps.needs import Needs
 from redwingscale_daemon._internal.swaps.order_client import EngineCalls, OrderClient
-from redwingscale_daemon._internal.swaps.order_giver import OrderGiver
 from redwingscale_daemon._internal.swaps.permit_issuer import PermitIssuer
-from redwingscale_daemon._internal.swaps.worker_orders import GiverRight
+from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority
 from redwingscale_daemon._internal.telemetry.ingress_metrics import IngressMetrics
 from redwingscale_daemon._internal.utils.periodic import Periodic
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
@@ -51,8 +51,8 @@
 # The order giver tells its news to all instances and plans for all workers. A machine
 # with less than this leaves the lease to others for a while, as its own requests would
 # wait.
-GIVER_CORES = 1.0
-GIVER_LINK_MBPS = 100.0
+LEADER_CORES = 1.0
+LEADER_LINK_MBPS = 100.0
 STANDBY_SECONDS = 0.75
 # Instances alike leave the lease to each other for a drawn part of this: all of them
 # would else write at the same moment, and all but one in vain.
@@ -62,19 +62,19 @@
 class Swaps(NamedTuple):
     """``instances`` tells how many instances share the deployment's budgets.
 
-    ``gives`` tells whether this instance is the order giver, which reads the store
-    for all; ``list_news`` and ``route_news`` stand in for the reads of the others, and
-    ``fetch_told`` brings a configuration that it has told.
+    ``is_leader`` tells whether this instance is the order giver, which reads the store
+    for all; ``list_updates`` and ``route_versions`` stand in for the reads of the others, and
+    ``fetch_announced`` brings a configuration that it has told.
     """
 
-    needs: Needs
+    local_demand: LocalDemand
     tasks: tuple[Task, ...]
     release: Callable[[], None]
     instances: Callable[[], int]
-    gives: Callable[[], bool]
-    list_news: ListNews
-    route_news: RouteNews
-    fetch_told: Callable[[], bool]
+    is_leader: Callable[[], bool]
+    list_updates: ListUpdateTracker
+    route_versions: RouteVersionTracker
+    fetch_announced: Callable[[], bool]
 
 
 def engine_calls() -> EngineCalls:
@@ -86,7 +86,7 @@
         engine.encode_order,
         engine.order_headers,
         engine.order_result,
-        exchange.read_notice,
+        exchange.read_backpressure,
     )
 
 
@@ -104,16 +104,16 @@
     me = settings.instance
     news_port = settings.peer_ports[0]
     needs_port = news_port + 1 if news_port else 0
-    lease = GiverLease(
+    lease = LeaderLease(
         store,
         start,
-        lambda: GiverRecord(
+        lambda: LeaderRecord(
             me,
             settings.host,
-            hub.news_port,
-            hub.needs_port,
+            server.news_port,
+            server.needs_port,
             start,
-            desk_port=peers.desk.port,
+            desk_port=peers.server.port,
             instances=instances(),
         ),
         LeaseTiming(
@@ -124,84 +124,88 @@
         ),
     )
     lease_retry = Backoff()
-    needs = Needs()
+    local_demand = LocalDemand()
     # What callers ask for here, for order givers that take over later.
     own_demand = Demand()
     bounds = settings.bounds
-    list_news = ListNews(fleet.directory, bounds.leave)
-    route_news = RouteNews(bounds.configuration)
+    list_updates = ListUpdateTracker(fleet.directory, bounds.leave)
+    route_versions = RouteVersionTracker(bounds.configuration)
     # What this instance has told last: the giver's sums hold it.
     told_loads: list[LoadEntry] = []
     instances = InstanceCount(lambda: lease.record.instances if lease.record else 0)
 
-    def on_giver_news(news: GiverNews) -> None:
-        instances.hear(news.instances)
-        _take_news(news, told_loads, fleet)
-        if news.grants is not None:
-            limiter.hear(news.grants)
-        peers.questions.hear(news.peers)
-        if not lease.holds:
-            lease.heard(news.store.lease_version)
-            list_news.take(news.fence, news.store.upstreams)
-            route_news.take(news.store.configuration, news.store.configuration_age)
+    def on_leader_update(update: LeaderUpdate) -> None:
+        instances.receive(update.instances)
+        _take_update(update, told_loads, fleet)
+        if update.grants is not None:
+            limiter.receive(update.grants)
+        peers.client.remember(update.peers)
+        if not lease.is_leader:
+            lease.note_renewal(update.store.lease_version)
+            list_updates.take(update.fence, update.store.upstreams)
+            route_versions.take(update.store.configuration, update.store.configuration_age)
 
-    def read_for_all(changes: ListChanges) -> StoreNews:
+    def read_for_all(changes: ListChanges) -> StoreUpdate:
         table = routes.get()
-        return StoreNews(
+        return StoreUpdate(
             lease.row_version,
-            changes.tell(fleet.directory, reads.upstreams.age),
+            changes.make_update(fleet.directory, reads.upstreams.age),
             table.version if table else 0,
             reads.configuration.age,
         )
 
-    def make_news(introduce: bool) -> InstanceNews:
+    def make_update(introduce: bool) -> InstanceUpdate:
         nonlocal told_loads
-        loads = [LoadEntry(key, *load) for key, load in fleet.book.own().items()]
+        loads = [LoadEntry(key, *load) for key, load in fleet.load_tracker.own().items()]
         told_loads = loads
         uses = [
             UseEntry(upstream, unit.model, unit.adapter, requests)
-            for (upstream, unit), requests in fleet.book.open_by_unit().items()
+            for (upstream, unit), requests in fleet.load_tracker.open_by_unit().items()
         ]
-        so_far = own_demand.so_far() if introduce else None
+        snapshot = own_demand.snapshot() if introduce else None
         outcomes = [OutcomeEntry(*counts) for counts in fleet.outcomes.drain()]
         unreachable = fleet.health.all_unreachable()
-        news = InstanceNews(
+        update = InstanceUpdate(
             me,
-            needs.drain(),
+            local_demand.drain(),
             loads,
             uses,
             unreachable,
-            so_far,
+            snapshot,
             outcomes,
-            limiter.tell(all_of_it=introduce),
-            peers.desk.address,
-            fleet.rates.tell(all_of_it=introduce),
+            limiter.updates(full=introduce),
+            peers.server.address,
+            fleet.rates.updates(full=introduce),
             fleet.directory.leaving_unlisted(),
             fleet.retry_times.pending(),
         )
-        own_demand.heard(news)
-        return news
+        own_demand.receive(update)
+        return update
 
     issuer = PermitIssuer(fleet.rates.limited, fleet.directory.lists)
     fleet.directory.on_gone(issuer.forget)
-    right = GiverRight(
+    authority = OrderAuthority(
         me,
         lease.fence,
         lambda: lease.succeeds_another,
         settings.bounds.order_quiet,
         lambda upstream: not fleet.retry_times.remaining(upstream) and issuer.draw(upstream),
     )
-    hub = GiverHub(settings.host, news_port, needs_port, lambda news: giver.heard(news))
-    giver = OrderGiver(
-        right,
+    server = LeaderServer(
+        settings.host, news_port, needs_port, lambda update: leader.receive(update)
+    )
+    leader = Leader(
+        authority,
         routes,
         fleet.directory,
         OrderClient(
             engine_calls(),
             lambda result: metrics.orders.add(1, {"result": result.value}),
-            lambda upstream, notice: fleet.notices.take(upstream, notice, "order giver"),
+            lambda upstream, backpressure: fleet.backpressure.take(
+                upstream, backpressure, "order giver"
+            ),
         ),
-        hub,
+        server,
         LoadCeiling(0.0, bounds.load_window),
         read_for_all,
         settings.machine.link_mbps,
@@ -210,17 +214,17 @@
         instances,
         fleet.rates.limited,
     )
-    fleet.directory.on_gone(giver.forget)
-    peers = build_peers(settings, routes, reads, route_news, lease, fleet)
-    link = GiverLink(lease, me, make_news, on_giver_news, giver.heard)
-    needs.on_new_wait(link.wake)
-    fleet.rates.on_news(link.wake)
+    fleet.directory.on_gone(leader.forget)
+    peers = build_peers(settings, routes, reads, route_versions, lease, fleet)
+    client = LeaderClient(lease, me, make_update, on_leader_update, leader.receive)
+    local_demand.on_new_wait(client.wake)
+    fleet.rates.on_update(client.wake)
 
     def follow_lease() -> None:
         # The giver's news tell that it is there: its row is read only without them.
-        if lease.holds:
+        if lease.is_leader:
             lease.step()
-        elif (not fleet.holdings.fresh or lease.record is None) and lease_retry.due:
+        elif (not fleet.residency.fresh or lease.record is None) and lease_retry.due:
             try:
                 lease.watch(LEASE_WATCH_SECONDS)
             except PlatformError:
@@ -229,50 +233,50 @@
             lease_retry.answered()
 
     def give() -> None:
-        news = giver.step()
-        if news is not None:
-            on_giver_news(news)
+        update = leader.step()
+        if update is not None:
+            on_leader_update(update)
 
     return Swaps(
-        needs=needs,
+        local_demand=local_demand,
         tasks=(
-            hub,
+            server,
             *peers.tasks,
             Periodic("giver-lease", LEASE_STEP_SECONDS, follow_lease),
-            link,
+            client,
             Periodic("order-giver", 0.0, give),
         ),
         release=lease.release,
         instances=instances,
-        gives=lambda: lease.holds,
-        list_news=list_news,
-        route_news=route_news,
-        fetch_told=peers.fetch_told,
+        is_leader=lambda: lease.is_leader,
+        list_updates=list_updates,
+        route_versions=route_versions,
+        fetch_announced=peers.fetch_announced,
     )
 
 
-def _take_news(news: GiverNews, own_loads: list[LoadEntry], fleet: Fleet) -> None:
-    held = {
+def _take_update(update: LeaderUpdate, own_loads: list[LoadEntry], fleet: Fleet) -> None:
+    residency = {
         entry.upstream: {
             name: frozenset(adapters) for name, adapters in entry.adapters_by_model.items()
         }
-        for entry in news.held
+        for entry in update.residency
     }
-    take = fleet.holdings.replace if news.all_held else fleet.holdings.update
-    take(held, news.ready_in, news.fence)
-    fleet.rates.hear(news.rate_limits)
-    fleet.directory.note_leaving(news.leaving, "order giver")
-    if news.loads is not None:
-        fleet.outcomes.set_failing(news.failing)
+    take = fleet.residency.replace if update.residency_complete else fleet.residency.update
+    take(residency, update.ready_in, update.fence)
+    fleet.rates.receive(update.rate_limits)
+    fleet.directory.note_leaving(update.leaving, "order giver")
+    if update.loads is not None:
+        fleet.outcomes.set_failure_ratios(update.failure_ratios)
         own = {entry.upstream: entry for entry in own_loads}
-        fleet.book.set_others(
-            {entry.upstream: _without(entry, own.get(entry.upstream)) for entry in news.loads}
+        fleet.load_tracker.set_others(
+            {entry.upstream: _without(entry, own.get(entry.upstream)) for entry in update.loads}
         )
     fleet.changes.notify()
 
 
 def _standby_seconds(machine: Machine) -> float:
-    small = machine.cores < GIVER_CORES or machine.link_mbps < GIVER_LINK_MBPS
+    small = machine.cores < LEADER_CORES or machine.link_mbps < LEADER_LINK_MBPS
     # Not for secrets: it only spreads the writes.
     drawn = random.random() * CONTEST_SECONDS  # noqa: S311
     return drawn + (STANDBY_SECONDS if small else 0.0)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
@@ -8,17 +8,17 @@
 from redwingscale_common.utils.logs import log_event
 
 from redwingscale_daemon._internal.configuration.accepted import Accepted, Versioned
-from redwingscale_daemon._internal.configuration.board_versions import (
+from redwingscale_daemon._internal.configuration.peer_texts import PeerTexts
+from redwingscale_daemon._internal.configuration.peer_versions import (
     TOPIC,
-    BoardVersions,
+    PeerVersions,
     decode_told,
 )
-from redwingscale_daemon._internal.configuration.peer_texts import PeerTexts
 from redwingscale_daemon._internal.configuration.quorum import Quorum
 from redwingscale_daemon._internal.configuration.store import ConfigurationStore
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
-from redwingscale_daemon._internal.membership.board import Board
 from redwingscale_daemon._internal.membership.entry import Entry
+from redwingscale_daemon._internal.membership.gossip_state import GossipState
 
 Listener = Callable[[Accepted], None]
 
@@ -35,8 +35,8 @@
     def __init__(
         self,
         store: ConfigurationStore,
-        board: Board,
-        versions: BoardVersions,
+        gossip: GossipState,
+        versions: PeerVersions,
         texts: PeerTexts,
         quorum: Quorum,
     ) -> None:
@@ -52,7 +52,7 @@
         self._wake: Callable[[], None] = lambda: None
         texts.serve(self._held, self._wake_up)
         quorum.rosters.on_answer(self._wake_up)
-        board.subscribe(TOPIC, self._on_entry)
+        gossip.subscribe(TOPIC, self._on_entry)
 
     def get(self) -> Accepted | None:
         """Return the version in force here; None before the first one."""
--- /dev/null
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/backpressure.py
@@ -0,0 +1,16 @@
+"""Backpressure that an upstream signals in one answer."""
+
+from typing import NamedTuple
+
+
+class Backpressure(NamedTuple):
+    """Read from the head of any answer, independent of the request.
+
+    ``per_second`` is the rate limit for all instances together, None for no limit. A
+    ``leaving`` upstream takes no new work. An upstream that rejected a request may accept
+    no other from this instance for ``retry_after_seconds``, None if it names no time.
+    """
+
+    per_second: float | None = None
+    leaving: bool = False
+    retry_after_seconds: float | None = None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/answer_notices.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/backpressure_tracker.py
@@ -1,21 +1,21 @@
-"""Takes what answers say of their upstreams to where decisions look for it."""
+"""Stores the backpressure signalled in answers where sending decisions read it."""
 
 from typing import NamedTuple
 
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.fleet.answer_notice import AnswerNotice
+from redwingscale_daemon._internal.fleet.backpressure import Backpressure
 from redwingscale_daemon._internal.fleet.rate_limits import RateLimits
 from redwingscale_daemon._internal.fleet.retry_times import RetryTimes
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 
 
-class KnownNotices(NamedTuple):
-    """What one upstream has said of itself so far.
+class BackpressureState(NamedTuple):
+    """Backpressure of one upstream.
 
     ``per_second`` is its rate limit, ``leaving_seconds`` the time since an answer or the
-    list said that it leaves, both None where none did; ``retry_in`` the seconds until it
-    may be asked again.
+    list first said that it is leaving, both None if neither did. ``retry_in`` is the
+    number of seconds until it may be sent requests again.
     """
 
     per_second: float | None
@@ -23,11 +23,11 @@
     retry_in: float
 
 
-class AnswerNotices:
-    """One place for all answers: to callers' requests, own reports and orders.
+class BackpressureTracker:
+    """Takes backpressure from all answers: to callers' requests, own reports and orders.
 
-    Notices are kept by upstream id, hence by its start: what a process said before it
-    started again says nothing of the new one.
+    State is keyed by upstream id, which changes with each start of the process:
+    backpressure from before a restart does not apply to the new process.
     """
 
     def __init__(
@@ -38,24 +38,29 @@
         self._retry_times = retry_times
 
     def take(
-        self, upstream_id: str, notice: AnswerNotice, source: str, sent_at: float | None = None
+        self,
+        upstream_id: str,
+        backpressure: Backpressure,
+        source: str,
+        sent_at: float | None = None,
     ) -> None:
-        """Take the notice of an answer of ``upstream_id``; what is not listed says nothing.
+        """Apply the backpressure of an answer of ``upstream_id``; ignored if it is not listed.
 
-        ``sent_at`` is when the request was sent, monotonic, of an answer that is surely the
-        upstream's own: that it names no limit then ends the known one.
+        ``sent_at`` is the monotonic time when the request was sent. Pass it only if the
+        answer surely came from the upstream itself: an answer without a limit then ends
+        the stored limit.
         """
         if not self._directory.lists(upstream_id):
             return
-        self._take_limit(upstream_id, notice.per_second, source, sent_at)
-        if notice.leaving:
+        self._take_limit(upstream_id, backpressure.per_second, source, sent_at)
+        if backpressure.leaving:
             self._directory.note_leaving([upstream_id], source)
-        if notice.retry_after_seconds is not None:
-            self._take_retry_after(upstream_id, notice.retry_after_seconds, source)
+        if backpressure.retry_after_seconds is not None:
+            self._take_retry_after(upstream_id, backpressure.retry_after_seconds, source)
 
-    def known(self, upstream_id: str) -> KnownNotices:
-        """Return what is known of ``upstream_id``."""
-        return KnownNotices(
+    def state(self, upstream_id: str) -> BackpressureState:
+        """Return the current backpressure of ``upstream_id``."""
+        return BackpressureState(
             self._rates.per_second(upstream_id),
             self._directory.leaving_seconds(upstream_id),
             self._retry_times.remaining(upstream_id),
@@ -65,9 +70,9 @@
         self, upstream_id: str, per_second: float | None, source: str, sent_at: float | None
     ) -> None:
         if per_second is not None:
-            self._rates.advertised(upstream_id, per_second, source)
+            self._rates.note_limit(upstream_id, per_second, source)
         elif sent_at is not None:
-            self._rates.lifted(upstream_id, sent_at, source)
+            self._rates.note_no_limit(upstream_id, sent_at, source)
 
     def _take_retry_after(self, upstream_id: str, seconds: float, source: str) -> None:
         before = self._retry_times.remaining(upstream_id)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/fleet.py
@@ -1,60 +1,65 @@
-"""What an instance knows about upstreams, as one value for wiring."""
+"""All state about upstreams of an instance, as one value for wiring."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.fleet.answer_notices import AnswerNotices
+from redwingscale_daemon._internal.fleet.backpressure_tracker import BackpressureTracker
 from redwingscale_daemon._internal.fleet.changes import Changes
 from redwingscale_daemon._internal.fleet.health import Health
-from redwingscale_daemon._internal.fleet.holdings import Holdings
-from redwingscale_daemon._internal.fleet.load_book import LoadBook
+from redwingscale_daemon._internal.fleet.latency_factors import LatencyFactors
+from redwingscale_daemon._internal.fleet.load_tracker import LoadTracker
 from redwingscale_daemon._internal.fleet.outcomes import Outcomes
-from redwingscale_daemon._internal.fleet.pace import Pace
 from redwingscale_daemon._internal.fleet.prefix_memory import PrefixMemory
 from redwingscale_daemon._internal.fleet.rate_limits import RateLimits
+from redwingscale_daemon._internal.fleet.residency import Residency
 from redwingscale_daemon._internal.fleet.retry_times import RetryTimes
 from redwingscale_daemon._internal.fleet.send_gate import SendGate
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 
 
 class Fleet(NamedTuple):
-    """The directory, and what was learned of the upstreams in it."""
+    """The upstream directory and the state that is kept for each upstream."""
 
     directory: UpstreamDirectory
-    holdings: Holdings
+    residency: Residency
     changes: Changes
-    book: LoadBook
+    load_tracker: LoadTracker
     health: Health
-    pace: Pace
+    latency_factors: LatencyFactors
     prefixes: PrefixMemory
     outcomes: Outcomes
     rates: RateLimits
     retry_times: RetryTimes
     gate: SendGate
-    notices: AnswerNotices
+    backpressure: BackpressureTracker
 
 
 def new_fleet(instance: str = "", instances: Callable[[], int] = lambda: 1) -> Fleet:
-    """Return parts of ``instance`` that know nothing yet, and forget what is no longer listed."""
-    changes, holdings, outcomes = Changes(), Holdings(), Outcomes()
-    directory = UpstreamDirectory(holdings, changes)
-    book, health, pace, prefixes = LoadBook(), Health(outcomes), Pace(), PrefixMemory()
+    """Return an empty fleet for ``instance`` whose parts drop upstreams that are gone."""
+    changes, residency, outcomes = Changes(), Residency(), Outcomes()
+    directory = UpstreamDirectory(residency, changes)
+    load_tracker, health, latency_factors, prefixes = (
+        LoadTracker(),
+        Health(outcomes),
+        LatencyFactors(),
+        PrefixMemory(),
+    )
     rates = RateLimits(instance, instances, directory.lists)
     retry_times = RetryTimes()
-    notices = AnswerNotices(directory, rates, retry_times)
-    for part in (book, health, pace, prefixes, holdings, rates, retry_times):
+    backpressure = BackpressureTracker(directory, rates, retry_times)
+    for part in (load_tracker, health, latency_factors, prefixes, residency, rates, retry_times):
         directory.on_gone(part.forget)
     return Fleet(
         directory,
-        holdings,
+        residency,
         changes,
-        book,
+        load_tracker,
         health,
-        pace,
+        latency_factors,
         prefixes,
         outcomes,
         rates,
         retry_times,
         SendGate(rates, retry_times),
-        notices,
+        backpressure,
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -9,8 +9,8 @@
 from redwingscale_daemon._internal.exceptions import Refusal
 from redwingscale_daemon._internal.fleet.changes import Changes
 from redwingscale_daemon._internal.fleet.chooser import Candidate, Chooser
-from redwingscale_daemon._internal.fleet.holdings import Holdings
 from redwingscale_daemon._internal.fleet.prompt import Prompt
+from redwingscale_daemon._internal.fleet.residency import Residency
 from redwingscale_daemon._internal.fleet.send_gate import SendGate
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.forwarding.call import Call
@@ -39,16 +39,16 @@
 STOPPING_COME_BACK_SECONDS = 0.05
 
 
-class Needs(Protocol):
+class WaitSink(Protocol):
     """Takes what waiting requests need."""
 
-    def ask(self, service: str, unit: Unit, patience_seconds: float) -> None:
+    def begin_wait(self, service: str, unit: Unit, max_wait_seconds: float) -> None:
         """Note that a request waits for ``unit``."""
 
-    def done(self, service: str, unit: Unit) -> None:
+    def end_wait(self, service: str, unit: Unit) -> None:
         """Note that it waits no more."""
 
-    def missed(self, service: str, unit: Unit) -> None:
+    def note_overload(self, service: str, unit: Unit) -> None:
         """Note a request whose holders were too busy for it."""
 
 
@@ -57,8 +57,8 @@
 
     chooser: Chooser
     changes: Changes
-    holdings: Holdings
-    needs: Needs
+    residency: Residency
+    demand: WaitSink
     open_requests: OpenRequests
     gate: SendGate
     # When to come back if this instance hears neither the order giver nor the list, None
@@ -71,31 +71,31 @@
         A request that cannot be served in time is given up on at once, with when
         to come back: holding it would keep the caller from trying elsewhere.
         """
-        found = self.chooser.for_prompt(call.service, prompt, call.attempts.tried)
+        found = self.chooser.choose_holder(call.service, prompt, call.attempts.tried)
         if found is not None:
             return self._in_time(call, prompt, found)
-        held_back = self.chooser.held_back_holders(call.service, prompt, call.attempts.tried)
-        if held_back:
-            self._check_queue(call, prompt, held_back)
-        with self.gate.waiting(held_back):
-            self.needs.ask(call.service, prompt.unit, _patience(call))
+        throttled = self.chooser.throttled_holders(call.service, prompt, call.attempts.tried)
+        if throttled:
+            self._check_queue(call, prompt, throttled)
+        with self.gate.waiting(throttled):
+            self.demand.begin_wait(call.service, prompt.unit, _patience(call))
             try:
                 return self._wait(call, prompt)
             finally:
-                self.needs.done(call.service, prompt.unit)
+                self.demand.end_wait(call.service, prompt.unit)
 
-    def _check_queue(self, call: Call, prompt: Prompt, held_back: list[str]) -> None:
+    def _check_queue(self, call: Call, prompt: Prompt, throttled: list[str]) -> None:
         """Raise `Refusal` where neither the holders that take none now nor a load serve it in time."""
-        ready_in = self.holdings.ready_in(str(prompt.unit))
+        ready_in = self.residency.ready_in(str(prompt.unit))
         if ready_in is not None and ready_in <= _patience(call):
             return
-        if not self.gate.rate_limited(held_back):
+        if not self.gate.rate_limited(throttled):
             # The order giver may bring the unit to another upstream for this request.
             return
         try:
-            SendWait(self.gate, self.changes).check_queue(call, held_back, _patience(call))
+            SendWait(self.gate, self.changes).check_queue(call, throttled, _patience(call))
         except Refusal:
-            self.needs.missed(call.service, prompt.unit)
+            self.demand.note_overload(call.service, prompt.unit)
             raise
 
     def _in_time(self, call: Call, prompt: Prompt, found: Candidate) -> Candidate:
@@ -106,11 +106,13 @@
         """
         if _overloaded(call, found) is None:
             return found
-        best = self.chooser.for_prompt(call.service, prompt, call.attempts.tried, compare_all=True)
+        best = self.chooser.choose_holder(
+            call.service, prompt, call.attempts.tried, compare_all=True
+        )
         refusal = _overloaded(call, best or found)
         if refusal is None:
             return best or found
-        self.needs.missed(call.service, prompt.unit)
+        self.demand.note_overload(call.service, prompt.unit)
         raise refusal
 
     def _wait(self, call: Call, prompt: Prompt) -> Candidate:
@@ -120,11 +122,11 @@
             request=call.terms.request_id,
             unit=prompt.unit,
             patience=round(_patience(call), 3),
-            giver_heard=self.holdings.fresh,
+            giver_heard=self.residency.fresh,
         )
         while True:
             seen = self.changes.count
-            found = self.chooser.for_prompt(call.service, prompt, call.attempts.tried)
+            found = self.chooser.choose_holder(call.service, prompt, call.attempts.tried)
             if found is not None:
                 return found
             self._give_up_if_hopeless(call, prompt, time.monotonic() - started)
@@ -139,14 +141,14 @@
             raise given_up(call, "stopping", "the instance stops", STOPPING_COME_BACK_SECONDS)
 
     def _check_retry_times(
-        self, call: Call, prompt: Prompt, held_back: list[str], ready_in: float | None
+        self, call: Call, prompt: Prompt, throttled: list[str], ready_in: float | None
     ) -> None:
         """Raise `Refusal` where rejections name later times than the request can wait for."""
-        retry_in = self.gate.retry_seconds(held_back)
-        if not held_back or retry_in <= max(0.0, _patience(call)):
+        retry_in = self.gate.retry_seconds(throttled)
+        if not throttled or retry_in <= max(0.0, _patience(call)):
             return
-        self.needs.missed(call.service, prompt.unit)
-        detail = f"{','.join(held_back)} may be asked again in {retry_in:.2f} s"
+        self.demand.note_overload(call.service, prompt.unit)
+        detail = f"{','.join(throttled)} may be asked again in {retry_in:.2f} s"
         come_back = min(retry_in, ready_in or COME_BACK_SECONDS)
         raise given_up(call, "upstream_rejects", detail, come_back)
 
@@ -155,13 +157,13 @@
             # Nobody hears of the need from here: another instance may be better off.
             raise given_up(call, "cut_off", f"no news of {prompt.unit}", come_back)
         left = _patience(call)
-        ready_in = self.holdings.ready_in(str(prompt.unit))
-        held_back = self.chooser.held_back_holders(call.service, prompt, call.attempts.tried)
+        ready_in = self.residency.ready_in(str(prompt.unit))
+        throttled = self.chooser.throttled_holders(call.service, prompt, call.attempts.tried)
         if waited > TOLD_LOAD_SECONDS and (ready_in is None or ready_in > left):
-            self._check_retry_times(call, prompt, held_back, ready_in)
-        if ready_in is not None and not held_back:
+            self._check_retry_times(call, prompt, throttled, ready_in)
+        if ready_in is not None and not throttled:
             hopeless = ready_in > left
-        elif self.holdings.fresh:
+        elif self.residency.fresh:
             hopeless = left <= 0
         else:
             hopeless = waited > UNTOLD_SECONDS
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -49,30 +49,30 @@
             if not self._parts.gate.draw(candidate.upstream.id):
                 # Another request has used the permit, or was rejected.
                 continue
-            load = self._parts.book.total(candidate.upstream.id)
-            notices = self._parts.notices.known(candidate.upstream.id)
-            call.attempts.begin(call.terms.request_id, candidate, load, notices)
-            ticket = self._parts.book.enter(candidate.upstream.id, None, 0)
+            load = self._parts.load_tracker.total(candidate.upstream.id)
+            backpressure = self._parts.backpressure.state(candidate.upstream.id)
+            call.attempts.begin(call.terms.request_id, candidate, load, backpressure)
+            ticket = self._parts.load_tracker.open_ticket(candidate.upstream.id, None, 0)
             try:
                 if self._send(call, candidate.upstream):
                     return
             finally:
-                ticket.leave()
+                ticket.close()
 
     def _candidate(self, call: Call) -> Candidate | None:
         """Return the best upstream, waiting for one that takes no request yet; None without any."""
 
         def choose() -> Candidate | None:
-            return self._parts.chooser.for_plain(call.service, call.attempts.tried)
+            return self._parts.chooser.choose_plain(call.service, call.attempts.tried)
 
         found = choose()
         if found is not None or call.attempts.failure is not None:
             return found
-        held_back = self._parts.chooser.held_back_plain(call.service, call.attempts.tried)
-        if not held_back:
+        throttled = self._parts.chooser.throttled_plain(call.service, call.attempts.tried)
+        if not throttled:
             return None
         return self._send_wait.candidate(
-            call, held_back, lambda: call.watch.remaining() - SERVICE_SECONDS, choose
+            call, throttled, lambda: call.watch.remaining() - SERVICE_SECONDS, choose
         )
 
     def _send(self, call: Call, upstream: Upstream) -> bool:
@@ -125,9 +125,9 @@
         self._parts.sender.keep(answering)
         failed = response.status >= FIRST_SERVER_ERROR
         if response.status in OWN_FAILURES:
-            self._parts.health.failed(upstream.id)
+            self._parts.health.note_failure(upstream.id)
         elif not failed:
-            self._parts.health.answered(upstream.id)
+            self._parts.health.note_answer(upstream.id)
         unsigned = response.status < FIRST_ERROR and not self._parts.dialect.is_signed(response)
         if (failed or unsigned) and call.attempts.failed(upstream.id, f"status {response.status}"):
             log_event(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -9,7 +9,7 @@
     UpstreamSilent,
 )
 from redwingscale_daemon._internal.fleet.chooser import Candidate
-from redwingscale_daemon._internal.fleet.load_book import LoadTicket
+from redwingscale_daemon._internal.fleet.load_tracker import LoadTicket
 from redwingscale_daemon._internal.fleet.prefix_memory import PrefixMemory
 from redwingscale_daemon._internal.fleet.prompt import Prompt
 from redwingscale_daemon._internal.forwarding.call import Call
@@ -83,18 +83,18 @@
             if not call.attempts.sendings:
                 call.permit.check()
             upstream = candidate.upstream
-            load = self._parts.book.total(upstream.id)
-            notices = self._parts.notices.known(upstream.id)
-            call.attempts.begin(call.terms.request_id, candidate, load, notices)
-            kept = self._prefixes.kept_tokens(upstream.id, prompt)
+            load = self._parts.load_tracker.total(upstream.id)
+            backpressure = self._parts.backpressure.state(upstream.id)
+            call.attempts.begin(call.terms.request_id, candidate, load, backpressure)
+            kept = self._prefixes.cached_tokens(upstream.id, prompt)
             unread = max(0, prompt.tokens_in - kept)
-            ticket = self._parts.book.enter(upstream.id, prompt.unit, unread)
+            ticket = self._parts.load_tracker.open_ticket(upstream.id, prompt.unit, unread)
             self._prefixes.sent(upstream.id, prompt)
             try:
                 if self._send(call, candidate, progress, ticket):
                     return
             finally:
-                ticket.leave()
+                ticket.close()
 
     def _send(
         self,
@@ -125,7 +125,9 @@
             case Lost():
                 if not progress.events:
                     waited = call.attempts.waited() * MILLISECONDS
-                    self._parts.pace.observed(upstream.id, candidate.first_event_ms, waited)
+                    self._parts.latency_factors.observe(
+                        upstream.id, candidate.first_event_ms, waited
+                    )
                 return self._try_another(call, outcome)
             case NotRun():
                 return self._try_another(call, outcome)
@@ -156,7 +158,7 @@
             answering.connection.discard()
             raise
         self._parts.sender.keep(answering)
-        self._parts.health.answered(answering.upstream.id)
+        self._parts.health.note_answer(answering.upstream.id)
         return True
 
     def _pass_events(
@@ -172,9 +174,11 @@
         for event in read_events(answering.response):
             if not begun:
                 begun = True
-                ticket.prompt_read()
+                ticket.note_prompt_read()
                 real = call.attempts.first_event() * MILLISECONDS
-                self._parts.pace.observed(answering.upstream.id, candidate.first_event_ms, real)
+                self._parts.latency_factors.observe(
+                    answering.upstream.id, candidate.first_event_ms, real
+                )
                 if real / MILLISECONDS > call.route.latency_target_seconds:
                     self._note_late(call)
             call.watch.silence_seconds = STREAM_SILENCE_SECONDS if call.route.resumable else None
@@ -190,14 +194,14 @@
 
     def _note_late(self, call: Call) -> None:
         if call.terms.prompt is not None:
-            self._wait.needs.missed(call.service, call.terms.prompt.unit)
+            self._wait.demand.note_overload(call.service, call.terms.prompt.unit)
 
     def _pass_failure(self, call: Call, answering: Answering) -> bool:
         body = read_whole(answering.response)
         self._parts.sender.keep(answering)
         status = answering.response.status
         if status in OWN_FAILURES:
-            self._parts.health.failed(answering.upstream.id)
+            self._parts.health.note_failure(answering.upstream.id)
         failed = status >= FIRST_SERVER_ERROR
         if failed and call.attempts.failed(answering.upstream.id, f"status {status}"):
             return False
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
@@ -41,11 +41,11 @@
     """Return the report in ``document``; raise `msgspec.DecodeError`."""
     report = msgspec.json.decode(document, type=_Report)
     return EngineReport(
-        held={model.name: frozenset(model.adapters) for model in report.models},
+        resident={model.name: frozenset(model.adapters) for model in report.models},
         arriving=frozenset(map(_unit, report.loading)),
         busy=report.busy,
         orders_accepted=report.seq,
-        born=report.born,
+        started_at_ms=report.born,
     )
 
 
@@ -55,7 +55,7 @@
         "Op": "load" if isinstance(order.action, Load) else "unload",
         "Model": order.action.unit.model,
         "Expect": order.orders_accepted,
-        "Holder": order.giver,
+        "Holder": order.leader,
         "Fence": order.fence,
     }
     if order.action.unit.adapter:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -7,10 +7,10 @@
 
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.messages import (
-    DemandSoFar,
-    InstanceNews,
+    DemandEntry,
+    DemandSnapshot,
+    InstanceUpdate,
     ModelRates,
-    NeedEntry,
     UnitRate,
 )
 from redwingscale_daemon._internal.utils.fading_rate import FadingRate
@@ -36,19 +36,19 @@
 # One late request in some seconds is no reason for a further copy of its adapter.
 LEAST_MISSED_PER_SECOND = 0.5
 # An instance's news replace its former ones; one that is silent needs nothing.
-NEWS_SECONDS = 1.5
+UPDATE_FRESH_SECONDS = 1.5
 
 
 class WaitingUnit(NamedTuple):
     """Requests that wait for a unit, each counted as often as it is urgent.
 
-    The most patient of them gives up after ``patience_seconds``.
+    The most patient of them gives up after ``max_wait_seconds``.
     """
 
     service: str
     unit: Unit
     requests: float
-    patience_seconds: float
+    max_wait_seconds: float
 
 
 _STEADY = FadingRate(MEMORY_SECONDS)
@@ -67,7 +67,7 @@
         self._missed_adapters: dict[tuple[str, Unit], FadingRate] = {}
         self._peaks: dict[tuple[str, str], float] = {}
         self._missing_since: dict[tuple[str, str], float] = {}
-        self._waiting: dict[str, tuple[float, list[NeedEntry]]] = {}
+        self._waiting: dict[str, tuple[float, list[DemandEntry]]] = {}
         self._first_copies: dict[tuple[str, str], int] = {}
         self._first_arrival_at: float | None = None
         self._introduced: set[str] = set()
@@ -78,25 +78,28 @@
             for model, copies in copies_by_model.items():
                 self._first_copies.setdefault((service, model), copies)
 
-    def heard(self, news: InstanceNews) -> None:
+    def receive(self, update: InstanceUpdate) -> None:
         """Take an instance's news."""
         now = time.monotonic()
         with self._lock:
-            if news.so_far is not None and news.instance not in self._introduced:
-                self._introduced.add(news.instance)
-                self._adopt(news.so_far, now)
-            self._waiting[news.instance] = (now, [need for need in news.needs if need.waiting])
-            if news.needs and self._first_arrival_at is None:
+            if update.demand_snapshot is not None and update.instance not in self._introduced:
+                self._introduced.add(update.instance)
+                self._adopt(update.demand_snapshot, now)
+            self._waiting[update.instance] = (
+                now,
+                [entry for entry in update.demand if entry.waiting],
+            )
+            if update.demand and self._first_arrival_at is None:
                 self._first_arrival_at = now
-            for need in news.needs:
-                self._count(need, now)
+            for entry in update.demand:
+                self._count(entry, now)
 
     def forget_introductions(self) -> None:
         """Take what instances have been asked for so far once more; for a new term."""
         with self._lock:
             self._introduced.clear()
 
-    def so_far(self) -> DemandSoFar:
+    def snapshot(self) -> DemandSnapshot:
         """Return what was counted here, for an order giver that knows nothing of it."""
         now = time.monotonic()
         with self._lock:
@@ -116,28 +119,28 @@
                 for (service, unit), rate in self._rates.items()
                 if rate.now(now) > LEAST_TOLD_PER_SECOND
             ]
-        return DemandSoFar(now - first, models, units)
+        return DemandSnapshot(now - first, models, units)
 
     def waiting(self) -> list[WaitingUnit]:
         """Return what requests wait for, the least patient first."""
         now = time.monotonic()
         with self._lock:
-            needs = [
-                (need, heard_at)
+            waiting = [
+                (entry, heard_at)
                 for heard_at, entries in self._waiting.values()
-                if now - heard_at < NEWS_SECONDS
-                for need in entries
+                if now - heard_at < UPDATE_FRESH_SECONDS
+                for entry in entries
             ]
         by_unit: dict[tuple[str, Unit], WaitingUnit] = {}
-        for need, heard_at in needs:
-            key = (need.service, Unit(need.model, need.adapter))
-            patience = need.patience_seconds - (now - heard_at)
+        for entry, heard_at in waiting:
+            key = (entry.service, Unit(entry.model, entry.adapter))
+            patience = entry.max_wait_seconds - (now - heard_at)
             known = by_unit.get(key, WaitingUnit(*key, 0, 0.0))
             by_unit[key] = known._replace(
-                requests=known.requests + need.waiting * need.weight,
-                patience_seconds=max(known.patience_seconds, patience),
+                requests=known.requests + entry.waiting * entry.weight,
+                max_wait_seconds=max(known.max_wait_seconds, patience),
             )
-        return sorted(by_unit.values(), key=lambda waiting: waiting.patience_seconds)
+        return sorted(by_unit.values(), key=lambda waiting: waiting.max_wait_seconds)
 
     def rate(self, service: str, unit: Unit) -> float:
         """Return the arrivals a second of ``unit`` alone, faded."""
@@ -154,14 +157,14 @@
         return min(steady, self._recent_rates.get(key, _LEAVING).now(now))
 
     def recent_rate(self, service: str, model: str) -> float:
-        """Return the arrivals a second of ``model``, by the memory of `missed_rate`."""
+        """Return the arrivals a second of ``model``, by the memory of `overload_rate`."""
         return self._recent_rates.get((service, model), _LEAVING).now(time.monotonic())
 
-    def missed_rate(self, service: str, model: str) -> float:
+    def overload_rate(self, service: str, model: str) -> float:
         """Return the requests a second whose holders of ``model`` were too busy."""
         return self._missed_rates.get((service, model), _LEAVING).now(time.monotonic())
 
-    def missed_adapters(self, service: str) -> list[Unit]:
+    def overloaded_adapters(self, service: str) -> list[Unit]:
         """Return the adapters whose holders were too busy lately, the most missed first."""
         now = time.monotonic()
         with self._lock:
@@ -223,40 +226,42 @@
         first = self._first_arrival_at
         return first is not None and time.monotonic() - first > FIRST_LOOK_SECONDS
 
-    def _adopt(self, so_far: DemandSoFar, now: float) -> None:
+    def _adopt(self, snapshot: DemandSnapshot, now: float) -> None:
         """Add what an instance was asked for before this order giver heard of it.
 
         An order giver that takes over while demand moves would else see each model's
         demand begin at nothing, and give the rare ones that requests wait for the place
         of further copies of the busy one.
         """
-        first = now - so_far.seconds
+        first = now - snapshot.seconds
         known = self._first_arrival_at
         self._first_arrival_at = first if known is None else min(known, first)
-        for told in so_far.models:
+        for told in snapshot.models:
             key = (told.service, told.model)
             self._model_rates[key] = self._model_rates.get(key, _STEADY).raised(told.steady, now)
             self._recent_rates[key] = self._recent_rates.get(key, _LEAVING).raised(told.recent, now)
-            self._missed_rates[key] = self._missed_rates.get(key, _LEAVING).raised(told.missed, now)
+            self._missed_rates[key] = self._missed_rates.get(key, _LEAVING).raised(
+                told.overloads, now
+            )
             if told.peak:
                 self._peaks[key] = self._peaks.get(key, 0.0) + told.peak
-        for entry in so_far.units:
+        for entry in snapshot.units:
             unit = (entry.service, Unit(entry.model, entry.adapter))
             self._rates[unit] = self._rates.get(unit, _STEADY).raised(entry.steady, now)
 
-    def _count(self, need: NeedEntry, now: float) -> None:
-        key = (need.service, Unit(need.model, need.adapter))
-        self._rates[key] = self._rates.get(key, _STEADY).plus(need.arrivals, now)
-        model = (need.service, need.model)
-        steady = self._model_rates.get(model, _STEADY).plus(need.arrivals, now)
-        recent = self._recent_rates.get(model, _LEAVING).plus(need.arrivals, now)
-        missed = self._missed_rates.get(model, _LEAVING).plus(need.missed, now)
+    def _count(self, entry: DemandEntry, now: float) -> None:
+        key = (entry.service, Unit(entry.model, entry.adapter))
+        self._rates[key] = self._rates.get(key, _STEADY).plus(entry.arrivals, now)
+        model = (entry.service, entry.model)
+        steady = self._model_rates.get(model, _STEADY).plus(entry.arrivals, now)
+        recent = self._recent_rates.get(model, _LEAVING).plus(entry.arrivals, now)
+        missed = self._missed_rates.get(model, _LEAVING).plus(entry.overloads, now)
         self._model_rates[model] = steady
         self._recent_rates[model] = recent
         self._missed_rates[model] = missed
-        if need.missed and need.adapter:
-            unit = (need.service, Unit(need.model, need.adapter))
+        if entry.overloads and entry.adapter:
+            unit = (entry.service, Unit(entry.model, entry.adapter))
             before = self._missed_adapters.get(unit, _LEAVING)
-            self._missed_adapters[unit] = before.plus(need.missed, now)
-        if need.arrivals:
+            self._missed_adapters[unit] = before.plus(entry.overloads, now)
+        if entry.arrivals:
             self._peaks[model] = max(self._peaks.get(model, 0.0), steady.per_second)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/engine_report.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/engine_report.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.fleet.holdings import Held
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.unit import Unit
 
 
@@ -11,12 +11,12 @@
 
     ``orders_accepted`` rises by one with each order since the process began;
     while ``busy`` one of them is being carried out. ``arriving`` adapters take
-    their place already. ``born`` tells one start of the process from the next, None
+    their place already. ``started_at_ms`` tells one start of the process from the next, None
     where the platform doesn't tell.
     """
 
-    held: Held
+    resident: AdaptersByModel
     arriving: frozenset[Unit]
     busy: bool
     orders_accepted: int
-    born: int | None = None
+    started_at_ms: int | None = None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_giver.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -17,23 +17,23 @@
 from redwingscale_daemon._internal.swaps.adapter_orders import AdapterOrders
 from redwingscale_daemon._internal.swaps.demand import Demand, WaitingUnit
 from redwingscale_daemon._internal.swaps.failing_upstreams import FailingUpstreams
-from redwingscale_daemon._internal.swaps.giver_hub import GiverHub
 from redwingscale_daemon._internal.swaps.instance_totals import NO_TOTALS, InstanceTotals
+from redwingscale_daemon._internal.swaps.leader_server import LeaderServer
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling, LoadRate
 from redwingscale_daemon._internal.swaps.messages import (
-    GiverNews,
-    InstanceNews,
+    InstanceUpdate,
+    LeaderUpdate,
     LoadEntry,
-    StoreNews,
+    StoreUpdate,
 )
-from redwingscale_daemon._internal.swaps.news_due import NEWS_SECONDS, NewsDue
 from redwingscale_daemon._internal.swaps.order_client import OrderClient
 from redwingscale_daemon._internal.swaps.permit_issuer import PermitIssuer
 from redwingscale_daemon._internal.swaps.planner import Planner, Swap
 from redwingscale_daemon._internal.swaps.service_views import ServiceViews
 from redwingscale_daemon._internal.swaps.tasks import SwapTask
-from redwingscale_daemon._internal.swaps.worker_orders import GiverRight
+from redwingscale_daemon._internal.swaps.update_schedule import UPDATE_SECONDS, UpdateSchedule
+from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority
 from redwingscale_daemon._internal.swaps.worker_pool import WorkerPool
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 from redwingscale_daemon._internal.workspaces.use_totals import UseTotals
@@ -60,28 +60,28 @@
 MOST_PEERS_TOLD = 8
 
 
-class OrderGiver:
+class Leader:
     """Plans while this instance holds the right to give orders; else does nothing."""
 
     def __init__(
         self,
-        right: GiverRight,
+        authority: OrderAuthority,
         routes: CurrentRoutes,
         directory: UpstreamDirectory,
         client: OrderClient,
-        hub: GiverHub,
+        server: LeaderServer,
         window: LoadCeiling,
-        read: Callable[[ListChanges], StoreNews],
+        read: Callable[[ListChanges], StoreUpdate],
         link_mbps: float = math.inf,
         use_slack: float = 0.0,
         issuer: PermitIssuer | None = None,
         known_instances: Callable[[], int] = lambda: 0,
         limits_by_id: Callable[[], Mapping[str, float]] = dict,
     ) -> None:
-        self._right = right
+        self._authority = authority
         self._routes = routes
         self._directory = directory
-        self._hub = hub
+        self._server = server
         self._window = window
         self._link_mbps = link_mbps
         # How many instances there were, as far as this one has been told.
@@ -92,7 +92,7 @@
         self._demand = Demand()
         self._rate = LoadRate()
         self._wake = threading.Event()
-        self._workers = WorkerPool(self._engine, client, right, self._wake.set)
+        self._workers = WorkerPool(self._engine, client, authority, self._wake.set)
         self._service_views = ServiceViews(directory, self._workers, self._demand, limits_by_id)
         self._adapters = AdapterOrders(self._demand, self._workers)
         self._instances = InstanceTotals()
@@ -101,35 +101,35 @@
         # For upstreams with a rate limit.
         self._issuer = issuer or PermitIssuer()
         self._totals = NO_TOTALS
-        self._news = NewsDue()
+        self._schedule = UpdateSchedule()
         self._gave_orders = False
         # Not for secrets: it only spreads questions.
         self._random = random.Random()
 
-    def heard(self, news: InstanceNews) -> None:
+    def receive(self, update: InstanceUpdate) -> None:
         """Take an instance's news; called by the threads that receive them."""
-        self._demand.heard(news)
-        self._failing.heard(news.outcomes)
-        self._use.heard(news.instance, news.drawn)
-        self._directory.note_leaving(news.leaving, "instance")
-        if self._issuer.heard(news.instance, news.rate_limits):
+        self._demand.receive(update)
+        self._failing.receive(update.outcomes)
+        self._use.receive(update.instance, update.drawn)
+        self._directory.note_leaving(update.leaving, "instance")
+        if self._issuer.receive(update.instance, update.rate_limits):
             self._wake.set()
-        if self._instances.heard(news):
+        if self._instances.receive(update):
             # It knows nothing of what is held.
-            self._news.newcomer()
+            self._schedule.request_full()
             self._wake.set()
-        if any(need.waiting for need in news.needs):
+        if any(entry.waiting for entry in update.demand):
             self._wake.set()
 
     def forget(self, upstream_ids: set[str]) -> None:
         """Drop upstreams that are gone."""
         self._instances.forget(upstream_ids)
 
-    def step(self) -> GiverNews | None:
+    def step(self) -> LeaderUpdate | None:
         """Plan once and return what was told, None for nothing new or without the right."""
-        self._wake.wait(NEWS_SECONDS)
+        self._wake.wait(UPDATE_SECONDS)
         self._wake.clear()
-        fence = self._right.fence()
+        fence = self._authority.fence()
         if fence is None:
             self._lay_down()
             return None
@@ -140,13 +140,13 @@
         self._totals = self._instances.sum()
         self._follow_list()
         self._plan()
-        news = self._tell(fence)
-        message_bytes = 0 if news is None else self._hub.publish(news)
+        update = self._tell(fence)
+        message_bytes = 0 if update is None else self._server.publish(update)
         took = time.monotonic() - started
         least = LEAST_REST_SECONDS + len(self._instances) * REST_SECONDS_EACH
-        rest = min(NEWS_SECONDS, max(least, took * REST_FACTOR))
+        rest = min(UPDATE_SECONDS, max(least, took * REST_FACTOR))
         time.sleep(max(rest, self._sending_seconds(message_bytes)))
-        return news
+        return update
 
     def _sending_seconds(self, message_bytes: int) -> float:
         """Return how long a message to all instances takes of the part of the link for it."""
@@ -159,11 +159,13 @@
         self._issuer.begin()
         self._changes.begin_with(self._directory.all())
         table = self._routes.get()
-        if not self._right.succeeds_another() or table is None:
+        if not self._authority.succeeds_another() or table is None:
             return
         for service in table.services_by_name.values():
             if service.engine is not None:
-                self._rate.succeed(self._ceiling(service.engine), self._right.quiet_seconds)
+                self._rate.succeed(
+                    self._ceiling(service.engine), self._authority.handover_pause_seconds
+                )
 
     def _ceiling(self, engine: EngineRule) -> LoadCeiling:
         return self._window._replace(per_second=engine.cold_loads_per_second)
@@ -172,7 +174,7 @@
         """Forget what only the order giver knows; another one may change it."""
         if self._gave_orders:
             self._gave_orders = False
-            self._news = NewsDue()
+            self._schedule = UpdateSchedule()
             self._changes = ListChanges()
             self._demand.forget_introductions()
             log_event("giver_ends")
@@ -203,11 +205,11 @@
                 continue
             views = self._views(waiting.service)
             model = waiting.unit.model
-            if any(model in view.held for view in views):
+            if any(model in view.resident for view in views):
                 self._demand.missing_seconds(waiting.service, model, held=True)
             if any(_holds(view, waiting.unit) for view in views):
                 continue
-            if any(model in view.held for view in views):
+            if any(model in view.resident for view in views):
                 self._adapters.bring(waiting, engine, views)
         table = self._routes.get()
         for name, service in table.services_by_name.items() if table else ():
@@ -238,7 +240,7 @@
             seconds=swap.load_seconds,
             gain=round(swap.net_gain, 1),
             waiting=sum(one.requests for one in asking),
-            patience=round(max((one.patience_seconds for one in asking), default=0.0), 2),
+            patience=round(max((one.max_wait_seconds for one in asking), default=0.0), 2),
         )
         if swap.cold:
             self._rate.begin()
@@ -248,30 +250,30 @@
     def _views(self, service: str) -> list[WorkerView]:
         return self._service_views.views(service, self._totals)
 
-    def _tell(self, fence: int) -> GiverNews | None:
+    def _tell(self, fence: int) -> LeaderUpdate | None:
         """Return the news, None where they would tell nothing and none are due."""
-        regular = self._news.regular_due()
-        held, all_held = self._news.held(
-            self._workers.held_by_id(), regular=regular, instances=len(self._instances)
+        regular = self._schedule.periodic_due()
+        residency, residency_complete = self._schedule.residency(
+            self._workers.resident_by_id(), regular=regular, instances=len(self._instances)
         )
         ready_in = self._workers.ready_in_by_model()
         store = self._read(self._changes)
         limits = self._issuer.issue(all_limits=regular)
-        if not self._news.differ(ready_in.keys(), store) and not regular and not limits:
+        if not self._schedule.has_changes(ready_in.keys(), store) and not regular and not limits:
             return None
         loads = [LoadEntry(key, *load) for key, load in self._totals.loads.items()]
-        return GiverNews(
-            self._right.instance,
+        return LeaderUpdate(
+            self._authority.instance,
             fence,
-            held,
-            all_held,
+            residency,
+            residency_complete,
             ready_in,
             loads if regular else None,
             len(self._instances),
             store,
-            self._failing.parts() if regular else {},
+            self._failing.ratios() if regular else {},
             self._use.grants(self._limits_by_name()) if regular else None,
-            self._some_peers() if all_held else [],
+            self._some_peers() if residency_complete else [],
             limits,
             self._directory.leaving_unlisted(),
         )
@@ -286,5 +288,5 @@
 
 
 def _holds(view: WorkerView, unit: Unit) -> bool:
-    adapters = view.held.get(unit.model)
+    adapters = view.resident.get(unit.model)
     return adapters is not None and (not unit.adapter or unit.adapter in adapters)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
@@ -2,16 +2,16 @@
 
 import msgspec
 
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.rate_limit_messages import PermitEntry, RateLimitEntry
 from redwingscale_daemon._internal.workspaces.use_messages import DrawnEntry, GrantEntry
 
 
-class NeedEntry(msgspec.Struct, array_like=True):
+class DemandEntry(msgspec.Struct, array_like=True):
     """How much a unit is asked for at one instance since its last message.
 
     ``waiting`` requests have no holder; the most patient of them can wait for
-    ``patience_seconds`` more. ``missed`` had holders that were too busy: they were
+    ``max_wait_seconds`` more. ``overloads`` had holders that were too busy: they were
     refused for it, or had their first event after their latency target. Each that waits
     counts ``weight`` times, by its urgency.
     """
@@ -21,8 +21,8 @@
     adapter: str
     arrivals: int
     waiting: int
-    patience_seconds: float
-    missed: int = 0
+    max_wait_seconds: float
+    overloads: int = 0
     weight: float = 1.0
 
 
@@ -46,7 +46,7 @@
 class ModelRates(msgspec.Struct, array_like=True):
     """What one instance has been asked for of a model, adapters included, a second.
 
-    ``steady`` and ``recent`` arrivals and ``missed`` ones fade with the half-lives of
+    ``steady`` and ``recent`` arrivals and ``overloads`` ones fade with the half-lives of
     the demand that they come from; ``peak`` is the highest steady rate so far.
     """
 
@@ -54,7 +54,7 @@
     model: str
     steady: float
     recent: float
-    missed: float
+    overloads: float
     peak: float
 
 
@@ -67,7 +67,7 @@
     steady: float
 
 
-class DemandSoFar(msgspec.Struct, array_like=True):
+class DemandSnapshot(msgspec.Struct, array_like=True):
     """What one instance has been asked for; its first request is ``seconds`` old."""
 
     seconds: float
@@ -83,22 +83,22 @@
     failed: int
 
 
-class InstanceNews(msgspec.Struct, array_like=True):
+class InstanceUpdate(msgspec.Struct, array_like=True):
     """From each instance to the order giver.
 
     ``unreachable`` upstreams have taken no connection of this instance lately.
-    ``so_far`` is told once to each order giver, which has heard nothing before. At its
+    ``demand_snapshot`` is told once to each order giver, which has heard nothing before. At its
     ``address`` it answers questions of others. ``leaving`` upstreams have said so in their
     answers, and the list does not yet. ``rejecting`` ones have named times before which they
     want nothing from the instance.
     """
 
     instance: str
-    needs: list[NeedEntry]
+    demand: list[DemandEntry]
     loads: list[LoadEntry]
     uses: list[UseEntry]
     unreachable: list[str]
-    so_far: DemandSoFar | None = None
+    demand_snapshot: DemandSnapshot | None = None
     outcomes: list[OutcomeEntry] = []
     drawn: list[DrawnEntry] = []
     address: str = ""
@@ -107,14 +107,14 @@
     rejecting: list[str] = []
 
 
-class HeldEntry(msgspec.Struct, array_like=True):
+class ResidencyEntry(msgspec.Struct, array_like=True):
     """What an upstream holds: adapters by model."""
 
     upstream: str
     adapters_by_model: dict[str, list[str]]
 
 
-class StoreNews(msgspec.Struct, array_like=True):
+class StoreUpdate(msgspec.Struct, array_like=True):
     """What the order giver has read from the store, so that the others need not.
 
     ``lease_version`` is the row version of its newest renewal. Of the configuration it
@@ -122,20 +122,20 @@
     """
 
     lease_version: int
-    upstreams: ListTold
+    upstreams: ListUpdate
     configuration: int
     configuration_age: float
 
 
-class GiverNews(msgspec.Struct, array_like=True):
+class LeaderUpdate(msgspec.Struct, array_like=True):
     """From the order giver to each instance.
 
-    ``held`` tells all upstreams where ``all_held``, else those whose holdings have
+    ``residency`` tells all upstreams where ``residency_complete``, else those whose holdings have
     changed in the last second; ``ready_in`` gives seconds by unit that is being
     loaded. ``loads`` are the sums over all instances, each of which takes off what it
     has told itself: one entry an upstream for each instance would grow with the
     square of the deployment. They are None in news between the regular ones.
-    ``instances`` were heard of lately. ``failing`` are the parts of their requests that
+    ``instances`` were heard of lately. ``failure_ratios`` are the parts of their requests that
     upstreams fail over all instances, told with the regular news as ``grants`` are.
     ``peers`` are addresses of some instances, told with all that is held. ``rate_limits``
     are those of upstreams: all in regular news, else those with new permits. ``leaving``
@@ -143,22 +143,22 @@
     ``sent_at`` by the giver's monotonic clock.
     """
 
-    giver: str
+    leader: str
     fence: int
-    held: list[HeldEntry]
-    all_held: bool
+    residency: list[ResidencyEntry]
+    residency_complete: bool
     ready_in: dict[str, float]
     loads: list[LoadEntry] | None
     instances: int
-    store: StoreNews
-    failing: dict[str, float] = {}
+    store: StoreUpdate
+    failure_ratios: dict[str, float] = {}
     grants: list[GrantEntry] | None = None
     peers: list[str] = []
     rate_limits: list[PermitEntry] = []
     leaving: list[str] = []
     sent_at: float = 0.0
 
-    def delayed(self, seconds: float) -> "GiverNews":
+    def delayed(self, seconds: float) -> "LeaderUpdate":
         """Return the news as they are after ``seconds`` on their way."""
         upstreams = msgspec.structs.replace(
             self.store.upstreams, age=self.store.upstreams.age + seconds
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
@@ -52,7 +52,7 @@
         rejects, most requests are refused at once, and wait nowhere: their models are missing
         all the same.
         """
-        present = {name for view in views for name in [*view.held, view.loading]}
+        present = {name for view in views for name in [*view.resident, view.loading]}
         waiting = [
             one
             for one in self._demand.waiting()
@@ -64,6 +64,6 @@
         refused = [
             WaitingUnit(service, Unit(name), rate, 0.0)
             for name in engine.models_by_name.keys() - known
-            if (rate := self._demand.missed_rate(service, name)) >= LEAST_REFUSED_PER_SECOND
+            if (rate := self._demand.overload_rate(service, name)) >= LEAST_REFUSED_PER_SECOND
         ]
         return waiting + refused
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -7,7 +7,7 @@
 
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.fleet.holdings import Held
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
@@ -37,19 +37,19 @@
 UNREACHABLE_SECONDS = 0.5
 
 
-class GiverRight(NamedTuple):
+class OrderAuthority(NamedTuple):
     """Who gives the orders.
 
     ``fence`` returns the number to use now, None without the right. Where another
     process gave the orders before, ``succeeds_another`` tells so, and its last
-    order is ``quiet_seconds`` old when the first one is given here. ``may_call`` tells
+    order is ``handover_pause_seconds`` old when the first one is given here. ``may_call`` tells
     whether the rate limit and the retry time of an upstream let one more call through now.
     """
 
     instance: str
     fence: Callable[[], int | None]
     succeeds_another: Callable[[], bool] = lambda: False
-    quiet_seconds: float = 0.0
+    handover_pause_seconds: float = 0.0
     may_call: Callable[[str], bool] = lambda _: True
 
 
@@ -70,14 +70,14 @@
         upstream: Upstream,
         engine: Callable[[], EngineRule | None],
         client: OrderClient,
-        right: GiverRight,
+        authority: OrderAuthority,
         on_change: Callable[[], None],
         unanswered: Iterable[UnansweredLoad] = (),
     ) -> None:
         self.upstream = upstream
         self.ledger = WorkerLedger(upstream, engine, unanswered)
         self._client = client
-        self._right = right
+        self._authority = authority
         self._on_change = on_change
         self._going: frozenset[str] = frozenset()
         self._going_adapters: frozenset[Unit] = frozenset()
@@ -104,7 +104,7 @@
         """Seconds until the model that is being loaded should be there."""
         return max(0.0, self._ready_at - time.monotonic())
 
-    def held(self) -> Held | None:
+    def held(self) -> AdaptersByModel | None:
         """Return what requests may be sent for, None while it isn't known."""
         return self.ledger.held(self._going, self._going_adapters)
 
@@ -169,7 +169,7 @@
 
     def _own_report(self) -> EngineReport | None:
         """Return the worker's report, None without one or from another start of it."""
-        if not self._right.may_call(self.upstream.id):
+        if not self._authority.may_call(self.upstream.id):
             return None
         report = self._client.report(self.upstream)
         if report is None or self.ledger.is_own(report):
@@ -197,7 +197,7 @@
         self._ready_at = time.monotonic() + task.load_seconds
         limit = task.load_seconds * LOAD_LIMIT_FACTOR + 1.0
         time.sleep(max(0.0, task.load_seconds - POLL_SECONDS))
-        if not self._until(lambda report: task.model in report.held, limit):
+        if not self._until(lambda report: task.model in report.resident, limit):
             return False
         self.settled_at[task.model] = time.monotonic()
         log_event("model_loaded", upstream=self.upstream.id, model=task.model)
@@ -207,7 +207,7 @@
         result = self._order(Unload(Unit(name)))
         if result not in (OrderResult.ACCEPTED, OrderResult.HOLDS):
             return False
-        if not self._until(lambda report: name not in report.held, UNLOAD_LIMIT_SECONDS):
+        if not self._until(lambda report: name not in report.resident, UNLOAD_LIMIT_SECONDS):
             return False
         log_event("model_unloaded", upstream=self.upstream.id, model=name)
         return True
@@ -240,11 +240,11 @@
         """Send one order, counted in the ledger if the worker has taken it."""
         if not self._awaits_turn():
             return OrderResult.REFUSED
-        fence = self._right.fence()
+        fence = self._authority.fence()
         if self.ledger.report is None or fence is None:
             return OrderResult.REFUSED
         accepted = self.ledger.orders_accepted
-        order = Order(action, accepted, self._right.instance, fence)
+        order = Order(action, accepted, self._authority.instance, fence)
         result = self._client.order(self.upstream, order)
         log_event(
             "order_sent",
@@ -261,7 +261,7 @@
     def _awaits_turn(self) -> bool:
         """Wait until the worker takes a call; return whether it does."""
         end = time.monotonic() + TURN_SECONDS
-        while not self._right.may_call(self.upstream.id):
+        while not self._authority.may_call(self.upstream.id):
             if time.monotonic() > end:
                 return False
             time.sleep(POLL_SECONDS)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
@@ -2,15 +2,15 @@
 
 from collections.abc import Callable, Iterable
 
-from redwingscale_daemon._internal.fleet.holdings import Held
-from redwingscale_daemon._internal.fleet.load_book import Load
+from redwingscale_daemon._internal.fleet.load_tracker import Load
+from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
 from redwingscale_daemon._internal.swaps.instance_totals import Totals
 from redwingscale_daemon._internal.swaps.order_client import OrderClient
 from redwingscale_daemon._internal.swaps.tasks import Task
 from redwingscale_daemon._internal.swaps.unanswered import UnansweredLoad
-from redwingscale_daemon._internal.swaps.worker_orders import GiverRight, WorkerOrders
+from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority, WorkerOrders
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
 # By the name of a service, None for one without model workers.
@@ -24,12 +24,12 @@
         self,
         engine_of: EngineOf,
         client: OrderClient,
-        right: GiverRight,
+        authority: OrderAuthority,
         on_change: Callable[[], None],
     ) -> None:
         self._engine_of = engine_of
         self._client = client
-        self._right = right
+        self._authority = authority
         self._on_change = on_change
         self._by_id: dict[str, WorkerOrders] = {}
         # Of workers that have gone: the same process may start again under its name.
@@ -57,7 +57,7 @@
         """Let a worker that is free carry out ``task``."""
         self._by_id[upstream_id].give(task)
 
-    def held_by_id(self) -> dict[str, Held | None]:
+    def resident_by_id(self) -> dict[str, AdaptersByModel | None]:
         """Return what each worker holds, None where it isn't known."""
         return {key: worker.held() for key, worker in self._by_id.items()}
 
@@ -75,13 +75,13 @@
 
     def _view(self, upstream: Upstream, totals: Totals) -> WorkerView:
         worker = self._by_id[upstream.id]
-        held = worker.held()
-        if held is None:
-            held = {model.name: model.adapters for model in upstream.models_by_name.values()}
+        resident = worker.held()
+        if resident is None:
+            resident = {model.name: model.adapters for model in upstream.models_by_name.values()}
         load = totals.loads.get(upstream.id, Load(0, 0))
         return WorkerView(
             upstream,
-            held,
+            resident,
             worker.free,
             worker.loading,
             worker.settled_at,
@@ -95,7 +95,7 @@
             upstream,
             lambda: self._engine_of(upstream.service),
             self._client,
-            self._right,
+            self._authority,
             self._on_change,
             self._unanswered_by_name.pop(upstream.platform_name, ()),
         )
--- a/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
@@ -26,7 +26,7 @@
 from redwingscale_daemon._internal.routes.idempotency import Idempotency
 from redwingscale_daemon._internal.routes.route import Route, WeightedService
 from redwingscale_daemon._internal.routes.route_table import IngressLimits, RouteTable
-from redwingscale_daemon._internal.swaps.needs import Needs
+from redwingscale_daemon._internal.swaps.local_demand import LocalDemand
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
 
 HOST = "a.example"
@@ -200,43 +200,43 @@
         self.upstreams = []
         self.routes = CurrentRoutes()
         fleet = new_fleet()
-        self.changes, self.holdings = fleet.changes, fleet.holdings
+        self.changes, self.residency = fleet.changes, fleet.residency
         self.directory = fleet.directory
         self.pool = ConnectionPool()
         self.open_requests = OpenRequests()
-        self.needs = Needs()
+        self.local_demand = LocalDemand()
         self.ended = []
         self.limiter = UseLimiter(lambda: 1)
-        self.book = fleet.book
+        self.load_tracker = fleet.load_tracker
         self.rates = fleet.rates
-        self.notices = fleet.notices
+        self.backpressure = fleet.backpressure
         chooser = Chooser("z1", fleet)
         chooser._random = random.Random(1)
         budget = RepeatBudget(BudgetRule(0.2, 50.0, 10.0), lambda: 1)
         parts = RelayParts(
             exchange,
-            Sender(self.pool, exchange, fleet.notices),
+            Sender(self.pool, exchange, fleet.backpressure),
             chooser,
-            fleet.book,
+            fleet.load_tracker,
             fleet.health,
-            fleet.pace,
+            fleet.latency_factors,
             budget,
             fleet.gate,
-            fleet.notices,
+            fleet.backpressure,
         )
         self.cut_off = None
         wait = HolderWait(
             chooser,
             self.changes,
-            self.holdings,
-            self.needs,
+            self.residency,
+            self.local_demand,
             self.open_requests,
             fleet.gate,
             lambda: self.cut_off,
         )
         entry = Entry(
             self.routes, exchange, PlainRelay(parts, self.changes), StreamRelay(parts, wait, fleet.prefixes),
-            self.needs, budget, self.open_requests, _Outcomes(self.ended),
+            self.local_demand, budget, self.open_requests, _Outcomes(self.ended),
             self.limiter,
         )  # fmt: skip
         self.server = IngressServer(
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
@@ -94,19 +94,19 @@
 
     def arrives():
         time.sleep(0.2)
-        world.holdings.replace({"u0": {"late": frozenset()}}, {})
+        world.residency.replace({"u0": {"late": frozenset()}}, {})
         world.changes.notify()
 
     threading.Thread(target=arrives).start()
     assert numbers(read_answer(caller)) == [1]
-    assert world.needs.drain()[0].waiting == 0
+    assert world.local_demand.drain()[0].waiting == 0
 
 
 def test_request_that_cannot_be_served_in_time_is_refused_at_once(world):
     # The model is being loaded, but will be there after the caller's deadline: to
     # hold the request until then would only keep the caller from going elsewhere.
     world.add("llm", events(1))
-    world.holdings.replace({"u0": {"m": frozenset()}}, {"late": 60.0})
+    world.residency.replace({"u0": {"m": frozenset()}}, {"late": 60.0})
     started = time.monotonic()
     answer = world.ask("/stream/", model="late")
     assert answer.status == 503
@@ -117,7 +117,7 @@
 def test_load_is_given_back(world):
     world.add("llm", events(1, then="break"))
     world.ask("/single/", model="m")
-    assert world.book.own() == {}
+    assert world.load_tracker.own() == {}
 
 
 def test_waiting_request_is_refused_before_the_process_ends(world):
@@ -146,10 +146,10 @@
     world.add("llm", events(*range(1, 6), then="break", gap=0.8))
     caller = world.send("/long/", model="m")
     time.sleep(3.6)
-    world.holdings.replace({"u0": {}}, {})
+    world.residency.replace({"u0": {}}, {})
     time.sleep(0.8)
     world.add("llm", events(6, 7), models=())
-    world.holdings.replace({"u1": {"m": frozenset()}}, {})
+    world.residency.replace({"u1": {"m": frozenset()}}, {})
     world.changes.notify()
     answer = read_answer(caller)
     assert (numbers(answer), answer.whole) == ([1, 2, 3, 4, 5, 6, 7], True)
@@ -161,7 +161,7 @@
     # other moment and no other upstream would make it shorter.
     world.add("llm", events(1))
     assert world.ask("/stream/", model="m", tokens="40000,10").status == 200
-    ticket = world.book.enter("u0", None, 40_000)
+    ticket = world.load_tracker.open_ticket("u0", None, 40_000)
     small = world.ask("/stream/", model="m")
     assert (small.status, b"overloaded" in small.body) == (503, True)
-    ticket.leave()
+    ticket.close()
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
@@ -6,7 +6,7 @@
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.adapter_spread import AdapterSpread
 from redwingscale_daemon._internal.swaps.demand import Demand
-from redwingscale_daemon._internal.swaps.messages import InstanceNews, NeedEntry
+from redwingscale_daemon._internal.swaps.messages import DemandEntry, InstanceUpdate
 
 from .conftest import SERVICE, upstream
 from .conftest import view as plain_view
@@ -21,7 +21,7 @@
 def view(name, requests, *adapters, model="a"):
     made = plain_view(name, model)
     return made._replace(
-        upstream=upstream(name, model), held={model: frozenset(adapters)}, requests=requests
+        upstream=upstream(name, model), resident={model: frozenset(adapters)}, requests=requests
     )
 
 
@@ -40,14 +40,14 @@
         arrivals = int(per_second * STEP_SECONDS)
         served = min(arrivals, int(len(holders) * WORKER_PER_SECOND * STEP_SECONDS))
         missed = arrivals - served
-        need = NeedEntry(SERVICE, "a", "a1", arrivals, 0, 0.0, missed)
-        demand.heard(InstanceNews("i1", [need], [], [], []))
+        entry = DemandEntry(SERVICE, "a", "a1", arrivals, 0, 0.0, missed)
+        demand.receive(InstanceUpdate("i1", [entry], [], [], []))
         busy = per_second // len(holders)
         views = [
             view(f"u{n}", busy if n in holders else 1, *(["a1"] if n in holders else []))
             for n in range(copies)
         ]
-        for copy in spread.copies(demand.missed_adapters(SERVICE), views, SLOTS):
+        for copy in spread.copies(demand.overloaded_adapters(SERVICE), views, SLOTS):
             demand.relieved(SERVICE, copy.unit)
             holders.add(int(copy.view.upstream.id[1:]))
         late_ones, sent = late_ones + missed, sent + arrivals
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
@@ -7,7 +7,7 @@
 from redwingscale_daemon._internal.swaps.carried_models import with_carried_models
 from redwingscale_daemon._internal.swaps.demand import Demand
 from redwingscale_daemon._internal.swaps.instance_totals import NO_TOTALS
-from redwingscale_daemon._internal.swaps.messages import InstanceNews, NeedEntry
+from redwingscale_daemon._internal.swaps.messages import DemandEntry, InstanceUpdate
 from redwingscale_daemon._internal.swaps.service_views import ServiceViews
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
@@ -29,7 +29,7 @@
 
 def planned(views, rates_by_id, waiting=()):
     made = with_carried_models(views, rates_by_id, ASKED.__getitem__, waiting)
-    return {one.upstream.id: (sorted(one.held), one.free) for one in made}
+    return {one.upstream.id: (sorted(one.resident), one.free) for one in made}
 
 
 def test_busy_models_of_an_upstream_rate_limited_count_as_missing(views):
@@ -53,8 +53,8 @@
 
 def missing(rates_by_id, views, totals=NO_TOTALS):
     demand = Demand()
-    refused = NeedEntry("llm", "busy", "", 8, 0, 0.0, missed=8)
-    demand.heard(InstanceNews("i0", [refused], [], [], []))
+    refused = DemandEntry("llm", "busy", "", 8, 0, 0.0, overloads=8)
+    demand.receive(InstanceUpdate("i0", [refused], [], [], []))
     engine = EngineRule(64, 100_000, 200.0, 8, 1.0, dict.fromkeys(ASKED))
     found = ServiceViews(None, None, demand, lambda: rates_by_id).missing(
         "llm", engine, views, totals
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_late_news.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_late_updates.py
@@ -4,13 +4,13 @@
 
 import msgspec
 import pytest
-from redwingscale_daemon._internal.fleet.list_told import ListTold
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
 from redwingscale_daemon._internal.fleet.rate_limit_messages import PermitEntry
-from redwingscale_daemon._internal.swaps.giver_hub import GiverHub
-from redwingscale_daemon._internal.swaps.giver_lease import GiverRecord
-from redwingscale_daemon._internal.swaps.giver_link import GiverLink
-from redwingscale_daemon._internal.swaps.messages import GiverNews, InstanceNews, StoreNews
-from redwingscale_daemon._internal.swaps.news_delay import NewsDelay
+from redwingscale_daemon._internal.swaps.leader_client import LeaderClient
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
+from redwingscale_daemon._internal.swaps.leader_server import LeaderServer
+from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, LeaderUpdate, StoreUpdate
+from redwingscale_daemon._internal.swaps.update_delay import UpdateDelay
 from redwingscale_standins.soak.faulty_link import FaultyLink
 
 from .conftest import until
@@ -18,57 +18,57 @@
 HELD_SECONDS = 1.0
 # Of the time that news were held up, what may not be told from a calm link's delay.
 UNSEEN_SECONDS = 0.2
-STORE = StoreNews(1, ListTold([], [], 0.0, 0, 0), 1, 0.0)
-NEWS = GiverNews("giver", 1, [], False, {}, None, 1, STORE)
+STORE = StoreUpdate(1, ListUpdate([], [], 0.0, 0, 0), 1, 0.0)
+UPDATE = LeaderUpdate("giver", 1, [], False, {}, None, 1, STORE)
 
 
 class Lease:
-    holds = False
+    is_leader = False
 
     def __init__(self, record):
         self.record = record
 
 
 @pytest.fixture
-def hub():
-    made = GiverHub("127.0.0.1", 0, 0, lambda news: None)
+def server():
+    made = LeaderServer("127.0.0.1", 0, 0, lambda update: None)
     made.start()
     yield made
     made.stop()
 
 
 @pytest.fixture
-def path(hub):
-    made = FaultyLink(hub.news_port)
+def path(server):
+    made = FaultyLink(server.news_port)
     yield made
     made.close()
 
 
 @pytest.fixture
-def heard(hub, path):
+def heard(server, path):
     """News as an instance takes them over ``path``."""
     told = []
-    lease = Lease(GiverRecord("giver", "127.0.0.1", path.port, hub.needs_port, "start"))
-    link = GiverLink(
-        lease, "one", lambda _: InstanceNews("one", [], [], [], []), told.append, lambda _: None
+    lease = Lease(LeaderRecord("giver", "127.0.0.1", path.port, server.needs_port, "start"))
+    client = LeaderClient(
+        lease, "one", lambda _: InstanceUpdate("one", [], [], [], []), told.append, lambda _: None
     )
-    link.start()
+    client.start()
 
     def linked():
-        hub.publish(NEWS)
+        server.publish(UPDATE)
         return bool(told)
 
     assert until(linked)
     yield told
-    link.stop()
+    client.stop()
 
 
-def test_news_that_were_held_up_on_their_way_are_as_old_as_that(hub, path, heard):
+def test_news_that_were_held_up_on_their_way_are_as_old_as_that(server, path, heard):
     # Guards against old news that are taken for new: a change that they lack is missed.
     path.hold_from = True
     time.sleep(UNSEEN_SECONDS)
     before = len(heard)
-    hub.publish(NEWS)
+    server.publish(UPDATE)
     time.sleep(HELD_SECONDS)
     path.heal()
     assert until(lambda: len(heard) > before)
@@ -86,7 +86,7 @@
 
 def test_difference_of_two_clocks_is_no_delay(clock):
     # Guards against instances that trust no news as the giver's clock shows another time.
-    delay = NewsDelay()
+    delay = UpdateDelay()
     assert delay.seconds("a", clock[0] - 500.0) == 0.0
     assert delay.seconds("a", clock[0] - 501.5) == pytest.approx(1.5)
     assert delay.seconds("b", clock[0] + 500.0) == 0.0
@@ -94,7 +94,7 @@
 
 def test_clocks_that_run_at_different_rates_are_no_delay(clock):
     # Guards against news that seem late after days of uptime.
-    delay = NewsDelay()
+    delay = UpdateDelay()
     late = []
     for second in range(0, 100_000, 100):
         clock[0] = 1000.0 + second
@@ -104,7 +104,7 @@
 
 def test_news_that_wait_behind_each_other_stay_late(clock):
     # Guards against a full link whose delay is taken for the normal one.
-    delay = NewsDelay()
+    delay = UpdateDelay()
     delay.seconds("a", clock[0])
     for _ in range(1000):
         clock[0] += 0.25
@@ -116,6 +116,6 @@
 def test_permits_that_come_late_are_void(seconds, permits):
     # Guards against permits of two order givers that are used at the same time.
     entry = PermitEntry("u", 1.0, 0.2, 0, {"one": 3})
-    news = msgspec.structs.replace(NEWS, rate_limits=[entry]).delayed(seconds)
-    assert news.rate_limits[0].permits_by_instance.get("one", 0) == permits
-    assert news.rate_limits[0].age == pytest.approx(0.2 + seconds)
+    update = msgspec.structs.replace(UPDATE, rate_limits=[entry]).delayed(seconds)
+    assert update.rate_limits[0].permits_by_instance.get("one", 0) == permits
+    assert update.rate_limits[0].age == pytest.approx(0.2 + seconds)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_giver_news.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
@@ -4,114 +4,114 @@
 
 import msgspec
 import pytest
-from redwingscale_daemon._internal.composition.swaps import _take_news
+from redwingscale_daemon._internal.composition.swaps import _take_update
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
-from redwingscale_daemon._internal.fleet.list_told import ListTold
-from redwingscale_daemon._internal.fleet.load_book import Load
+from redwingscale_daemon._internal.fleet.list_update import ListUpdate
+from redwingscale_daemon._internal.fleet.load_tracker import Load
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.route_table import IngressLimits, RouteTable
 from redwingscale_daemon._internal.routes.service_rule import ServiceRule
+from redwingscale_daemon._internal.swaps.leader import Leader
 from redwingscale_daemon._internal.swaps.list_changes import ListChanges
 from redwingscale_daemon._internal.swaps.load_rate import LoadCeiling
 from redwingscale_daemon._internal.swaps.messages import (
-    GiverNews,
-    HeldEntry,
-    InstanceNews,
+    InstanceUpdate,
+    LeaderUpdate,
     LoadEntry,
-    StoreNews,
+    ResidencyEntry,
+    StoreUpdate,
 )
-from redwingscale_daemon._internal.swaps.news_due import NewsDue
-from redwingscale_daemon._internal.swaps.order_giver import OrderGiver
-from redwingscale_daemon._internal.swaps.worker_orders import GiverRight
+from redwingscale_daemon._internal.swaps.update_schedule import UpdateSchedule
+from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority
 
 from .conftest import SERVICE, upstream
 
-NOTHING_READ = StoreNews(1, ListTold([], [], 0.0, 0, 0), 1, 0.0)
+NOTHING_READ = StoreUpdate(1, ListUpdate([], [], 0.0, 0, 0), 1, 0.0)
 
 
-class Hub:
+class Server:
     def __init__(self):
         self.told = []
 
-    def publish(self, news):
-        self.told.append(news)
-        return len(msgspec.msgpack.encode(news))
+    def publish(self, update):
+        self.told.append(update)
+        return len(msgspec.msgpack.encode(update))
 
 
-def _giver_of_many(engine, worker, upstreams=1, link_mbps=1000.0):
+def _leader_of_many(engine, worker, upstreams=1, link_mbps=1000.0):
     routes = CurrentRoutes()
     services = {SERVICE: ServiceRule(SERVICE, 100, engine)}
     routes.offer(RouteTable(1, (), services, IngressLimits(1000, 1000, 1.0, 1.0)))
     fleet = new_fleet()
     fleet.directory.replace([upstream(f"u{n}", "a", "b") for n in range(upstreams)])
-    right = GiverRight("i0", lambda: 7)
+    authority = OrderAuthority("i0", lambda: 7)
     ceiling = LoadCeiling(0.0, 5.0)
 
     def read(changes):
-        return StoreNews(1, changes.tell(fleet.directory, 0.1), 1, 0.1)
+        return StoreUpdate(1, changes.make_update(fleet.directory, 0.1), 1, 0.1)
 
-    return OrderGiver(right, routes, fleet.directory, worker, Hub(), ceiling, read, link_mbps)
+    return Leader(authority, routes, fleet.directory, worker, Server(), ceiling, read, link_mbps)
 
 
 @pytest.fixture
-def giver(engine, worker):
-    return _giver_of_many(engine, worker)
+def leader(engine, worker):
+    return _leader_of_many(engine, worker)
 
 
 def loads(instance, requests):
-    return InstanceNews(instance, [], [LoadEntry("u0", requests, 100 * requests)], [], [])
+    return InstanceUpdate(instance, [], [LoadEntry("u0", requests, 100 * requests)], [], [])
 
 
-def test_loads_of_all_instances_are_told_as_one_sum(giver):
+def test_loads_of_all_instances_are_told_as_one_sum(leader):
     # Sixty instances told of forty-five upstreams each: every message to each of them
     # held 2,700 entries, and they were most of the bytes between failure domains.
     for number in range(20):
-        giver.heard(loads(f"i{number}", 2))
-    assert giver.step().loads == [LoadEntry("u0", 40, 4000)]
+        leader.receive(loads(f"i{number}", 2))
+    assert leader.step().loads == [LoadEntry("u0", 40, 4000)]
 
 
-def test_nothing_is_told_between_two_changes(giver):
-    assert giver.step() is not None
-    giver.heard(InstanceNews("i1", [], [], [], []))
-    assert giver.step() is not None
-    giver._wake.set()
-    assert giver.step() is None
+def test_nothing_is_told_between_two_changes(leader):
+    assert leader.step() is not None
+    leader.receive(InstanceUpdate("i1", [], [], [], []))
+    assert leader.step() is not None
+    leader._wake.set()
+    assert leader.step() is None
 
 
-def test_instance_that_has_just_come_is_told_what_is_held(giver, monkeypatch):
-    giver.heard(loads("i1", 1))
-    giver.step()
+def test_instance_that_has_just_come_is_told_what_is_held(leader, monkeypatch):
+    leader.receive(loads("i1", 1))
+    leader.step()
     real = time.monotonic
     monkeypatch.setattr(time, "monotonic", lambda: real() + 0.4)
-    giver._wake.set()
-    news = giver.step()
-    assert (news.held, news.all_held) == ([], False)
-    giver.heard(loads("i2", 1))
-    assert giver.step().all_held
+    leader._wake.set()
+    update = leader.step()
+    assert (update.residency, update.residency_complete) == ([], False)
+    leader.receive(loads("i2", 1))
+    assert leader.step().residency_complete
 
 
 def test_own_load_is_not_counted_twice():
     fleet = new_fleet()
     own = [LoadEntry("u0", 3, 200)]
-    fleet.book.enter("u0", None, 0)
-    _take_news(
-        GiverNews("g", 1, [], True, {}, [LoadEntry("u0", 5, 900)], 2, NOTHING_READ), own, fleet
+    fleet.load_tracker.open_ticket("u0", None, 0)
+    _take_update(
+        LeaderUpdate("g", 1, [], True, {}, [LoadEntry("u0", 5, 900)], 2, NOTHING_READ), own, fleet
     )
-    assert fleet.book.total("u0") == Load(3, 700)
+    assert fleet.load_tracker.total("u0") == Load(3, 700)
 
 
 def test_holdings_of_a_former_giver_are_not_carried_over():
     # A new giver says that nothing has changed; this instance has only the former
     # giver's view, and models have moved since.
     fleet = new_fleet()
-    held = [HeldEntry("u0", {"a": []})]
-    _take_news(GiverNews("g", 1, held, True, {}, [], 1, NOTHING_READ), [], fleet)
-    before = fleet.holdings._view
-    _take_news(GiverNews("h", 2, [], False, {}, None, 1, NOTHING_READ), [], fleet)
-    assert fleet.holdings._view is before
-    _take_news(GiverNews("g", 1, [], False, {}, None, 1, NOTHING_READ), [], fleet)
-    assert fleet.holdings.held("u0") == {"a": frozenset()}
-    assert fleet.holdings._view is not before
+    held = [ResidencyEntry("u0", {"a": []})]
+    _take_update(LeaderUpdate("g", 1, held, True, {}, [], 1, NOTHING_READ), [], fleet)
+    before = fleet.residency._view
+    _take_update(LeaderUpdate("h", 2, [], False, {}, None, 1, NOTHING_READ), [], fleet)
+    assert fleet.residency._view is before
+    _take_update(LeaderUpdate("g", 1, [], False, {}, None, 1, NOTHING_READ), [], fleet)
+    assert fleet.residency.resident("u0") == {"a": frozenset()}
+    assert fleet.residency._view is not before
 
 
 def test_change_is_told_alone_and_again_for_a_second(monkeypatch):
@@ -119,40 +119,40 @@
     # whole to sixty-nine instances, thirty times a second, they filled the link.
     real, offset = time.monotonic, [0.0]
     monkeypatch.setattr(time, "monotonic", lambda: real() + offset[0])
-    due = NewsDue()
+    schedule = UpdateSchedule()
     held = {f"u{n}": {"a": frozenset()} for n in range(45)}
-    assert len(due.held(held, regular=True)[0]) == 45
+    assert len(schedule.residency(held, regular=True)[0]) == 45
     offset[0] += 1.1
-    assert due.held(held, regular=True) == ([], False)
+    assert schedule.residency(held, regular=True) == ([], False)
     held["u7"] = {"a": frozenset({"x"})}
     for _ in range(2):
-        told = due.held(held, regular=False)
-        assert told == ([HeldEntry("u7", {"a": ["x"]})], False)
+        told = schedule.residency(held, regular=False)
+        assert told == ([ResidencyEntry("u7", {"a": ["x"]})], False)
         offset[0] += 0.4
     offset[0] += 0.5
     # News that may not be sent must not count as having told all.
-    assert not due.held(held, regular=False)[1]
-    entries, all_held = due.held(held, regular=True)
-    assert (len(entries), all_held) == (45, True)
+    assert not schedule.residency(held, regular=False)[1]
+    entries, residency_complete = schedule.residency(held, regular=True)
+    assert (len(entries), residency_complete) == (45, True)
 
 
 def test_holdings_that_are_unknown_again_are_told_by_telling_all():
     # A worker's order got no answer: what it holds is unknown, and the others must
     # not go on with what was told before.
-    due = NewsDue()
-    due.held({"u0": {"a": frozenset()}, "u1": {"b": frozenset()}}, regular=True)
-    told = due.held({"u0": {"a": frozenset()}, "u1": None}, regular=False)
-    assert told == ([HeldEntry("u0", {"a": []})], True)
+    schedule = UpdateSchedule()
+    schedule.residency({"u0": {"a": frozenset()}, "u1": {"b": frozenset()}}, regular=True)
+    told = schedule.residency({"u0": {"a": frozenset()}, "u1": None}, regular=False)
+    assert told == ([ResidencyEntry("u0", {"a": []})], True)
 
 
 def test_changes_are_merged_into_the_view():
     fleet = new_fleet()
-    both = [HeldEntry("u0", {"a": []}), HeldEntry("u1", {"b": []})]
-    _take_news(GiverNews("g", 1, both, True, {}, [], 1, NOTHING_READ), [], fleet)
-    one = [HeldEntry("u1", {"b": ["x"]})]
-    _take_news(GiverNews("g", 1, one, False, {}, None, 1, NOTHING_READ), [], fleet)
-    assert fleet.holdings.held("u0") == {"a": frozenset()}
-    assert fleet.holdings.held("u1") == {"b": frozenset({"x"})}
+    both = [ResidencyEntry("u0", {"a": []}), ResidencyEntry("u1", {"b": []})]
+    _take_update(LeaderUpdate("g", 1, both, True, {}, [], 1, NOTHING_READ), [], fleet)
+    one = [ResidencyEntry("u1", {"b": ["x"]})]
+    _take_update(LeaderUpdate("g", 1, one, False, {}, None, 1, NOTHING_READ), [], fleet)
+    assert fleet.residency.resident("u0") == {"a": frozenset()}
+    assert fleet.residency.resident("u1") == {"b": frozenset({"x"})}
 
 
 def test_all_that_is_held_is_told_at_a_pace_that_the_link_carries(monkeypatch):
@@ -162,15 +162,17 @@
     # the next one, and for ten seconds nobody gave orders.
     real, offset = time.monotonic, [0.0]
     monkeypatch.setattr(time, "monotonic", lambda: real() + offset[0])
-    due, instances = NewsDue(), 195
+    schedule, instances = UpdateSchedule(), 195
     adapters = [f"a{n}" for n in range(3)]
     held = {f"i-{n:010x}": {f"model{n}-{m}": adapters for m in range(3)} for n in range(78)}
     told = 0
     for step in range(40):
         offset[0] += 0.125
-        due.newcomer()
+        schedule.request_full()
         unknown = f"i-{step:010x}"
-        entries, _ = due.held(held | {unknown: None}, regular=step % 2 == 0, instances=instances)
+        entries, _ = schedule.residency(
+            held | {unknown: None}, regular=step % 2 == 0, instances=instances
+        )
         told += len(msgspec.msgpack.encode(entries)) * instances
     seconds = 40 * 0.125
     # A third of a link of 100 Mbit/s: the store's calls and callers' requests need the rest.
@@ -178,12 +180,12 @@
 
 
 def test_newcomer_among_few_is_told_at_once():
-    due = NewsDue()
+    schedule = UpdateSchedule()
     held = {"u0": {"a": frozenset()}}
-    due.held(held, regular=True, instances=6)
+    schedule.residency(held, regular=True, instances=6)
     time.sleep(6 * 0.005)
-    due.newcomer()
-    assert due.held(held, regular=False, instances=6)[1]
+    schedule.request_full()
+    assert schedule.residency(held, regular=False, instances=6)[1]
 
 
 def test_first_list_is_told_in_pieces_and_once():
@@ -200,12 +202,12 @@
     # All large machines were cut from the store, and one with 10 Mbit/s gave the orders:
     # four messages a second to two hundred instances filled its link, and it lost the
     # lease two seconds after each time that it took it.
-    giver = _giver_of_many(engine, worker, upstreams=78, link_mbps=10.0)
+    leader = _leader_of_many(engine, worker, upstreams=78, link_mbps=10.0)
     for number in range(195):
         entries = [LoadEntry(f"u{n}", 1, 1000) for n in range(78)]
-        giver.heard(InstanceNews(f"i{number}", [], entries, [], []))
+        leader.receive(InstanceUpdate(f"i{number}", [], entries, [], []))
     started = time.monotonic()
-    told = [giver.step() for _ in range(3)]
+    told = [leader.step() for _ in range(3)]
     seconds = time.monotonic() - started
-    sent = sum(len(msgspec.msgpack.encode(news)) for news in told if news is not None)
+    sent = sum(len(msgspec.msgpack.encode(update)) for update in told if update is not None)
     assert sent * 195 * 8 / seconds < 10e6
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
@@ -9,16 +9,16 @@
 from redwingscale_daemon._internal.platform.configuration import decode_configuration
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.table_record import decode_table, encode_table
-from redwingscale_daemon._internal.swaps.giver_lease import GiverLease, GiverRecord, LeaseTiming
-from redwingscale_daemon._internal.swaps.peer_desk import KnownLease, PeerDesk
-from redwingscale_daemon._internal.swaps.peer_questions import PeerQuestions
+from redwingscale_daemon._internal.swaps.leader_lease import LeaderLease, LeaderRecord, LeaseTiming
+from redwingscale_daemon._internal.swaps.peer_client import PeerClient
+from redwingscale_daemon._internal.swaps.peer_server import LeaseState, PeerServer
 from redwingscale_daemon._internal.swaps.rate_limit_gossip import RateLimitGossip
 from redwingscale_daemon._internal.workspaces.keys import key_digest
 from redwingscale_standins.hosted.documents import document
 from redwingscale_standins.hosted.waiting import until
 
 KEY = "k2b7ex5wa5"
-GIVER = GiverRecord("n9", "127.0.0.1", 1, 2, "start")
+LEADER = LeaderRecord("n9", "127.0.0.1", 1, 2, "start")
 
 
 def table(version, *keys):
@@ -32,8 +32,10 @@
     def __init__(self, newest, age=0.1):
         self.routes = CurrentRoutes()
         self.routes.offer(newest)
-        self.desk = PeerDesk("127.0.0.1", 0, self.routes, lambda: age, lambda: KnownLease(7, GIVER))
-        self.desk.start()
+        self.server = PeerServer(
+            "127.0.0.1", 0, self.routes, lambda: age, lambda: LeaseState(7, LEADER)
+        )
+        self.server.start()
 
 
 @pytest.fixture
@@ -47,7 +49,7 @@
 
     yield start_peer
     for peer in started:
-        peer.desk.stop()
+        peer.server.stop()
 
 
 class Asker:
@@ -57,7 +59,7 @@
         self.routes = CurrentRoutes()
         self.needed = True
         self.givers = []
-        self.questions = PeerQuestions(
+        self.client = PeerClient(
             self.routes,
             lambda: self.needed,
             lambda version, record: self.givers.append((version, record)),
@@ -95,17 +97,17 @@
 def test_newer_configuration_comes_from_a_peer(start, asker):
     """Guards against a withdrawn key that still works where the store turns an instance away."""
     asker.routes.offer(table(1, KEY))
-    asker.questions.hear([start(table(2)).desk.address])
-    asker.questions.step()
+    asker.client.remember([start(table(2)).server.address])
+    asker.client.step()
     assert asker.version == 2
     assert asker.routes.get().keys.find(key_digest(KEY)) is None
-    assert asker.givers == [(7, GIVER)]
+    assert asker.givers == [(7, LEADER)]
 
 
 def test_older_configuration_of_a_peer_is_not_taken(start, asker):
     asker.routes.offer(table(5))
-    asker.questions.hear([start(table(4, KEY)).desk.address])
-    asker.questions.step()
+    asker.client.remember([start(table(4, KEY)).server.address])
+    asker.client.step()
     assert asker.version == 5
 
 
@@ -113,8 +115,8 @@
     """Guards against an answer of old that ends the questions."""
     peers = [start(table(1, KEY), age=9.0), start(table(1, KEY), age=9.0), start(table(2))]
     asker.routes.offer(table(1, KEY))
-    asker.questions.hear([peer.desk.address for peer in peers])
-    asker.questions.step()
+    asker.client.remember([peer.server.address for peer in peers])
+    asker.client.step()
     assert asker.version == 2
 
 
@@ -123,35 +125,35 @@
         listener = odd.listen("tcp://127.0.0.1:0")
         port = int(str(listener.local_address).rsplit(":", 1)[1])
         addresses = [f"127.0.0.1:{silent.getsockname()[1]}", f"127.0.0.1:{port}"]
-        asker.questions.hear([*addresses, start(table(2)).desk.address])
-        asker.questions.step()
+        asker.client.remember([*addresses, start(table(2)).server.address])
+        asker.client.step()
     assert asker.version == 2
 
 
 def test_nobody_is_asked_without_need(start, asker):
     asker.needed = False
-    asker.questions.hear([start(table(2)).desk.address])
-    asker.questions.step()
+    asker.client.remember([start(table(2)).server.address])
+    asker.client.step()
     assert asker.version is None
 
 
 def test_no_table_is_sent_to_an_instance_that_has_it(start, asker):
     peer = start(table(2))
     asker.routes.offer(table(2))
-    asker.questions.hear([peer.desk.address])
-    asker.questions.step()
-    assert peer.desk._packed[0] == 2
-    assert asker.givers == [(7, GIVER)]
+    asker.client.remember([peer.server.address])
+    asker.client.step()
+    assert peer.server._packed[0] == 2
+    assert asker.givers == [(7, LEADER)]
 
 
 def test_lease_row_told_by_a_peer_is_taken_only_if_newer(store):
     """Guards against a return to a former order giver."""
     timing = LeaseTiming(2.0, 1.2, 0.3)
-    lease = GiverLease(store, "me", lambda: GIVER, timing)
-    lease.told(9, GIVER)
-    former = GiverRecord("n1", "127.0.0.1", 1, 2, "former")
-    lease.told(8, former)
-    assert lease.record == GIVER
+    lease = LeaderLease(store, "me", lambda: LEADER, timing)
+    lease.adopt_record(9, LEADER)
+    former = LeaderRecord("n1", "127.0.0.1", 1, 2, "former")
+    lease.adopt_record(8, former)
+    assert lease.record == LEADER
     assert lease.row_version == 9
 
 
@@ -159,18 +161,18 @@
     # Guards against instances that each learn of a rate by a request of their own.
     here, there = RateLimits(), RateLimits()
     routes = CurrentRoutes()
-    desk = PeerDesk(
-        "127.0.0.1", 0, routes, lambda: 0.1, lambda: KnownLease(7, None), there.hear_peer
+    server = PeerServer(
+        "127.0.0.1", 0, routes, lambda: 0.1, lambda: LeaseState(7, None), there.receive_from_peer
     )
-    desk.start()
-    questions = PeerQuestions(routes, lambda: False, lambda *_: None, lambda: "")
-    questions.hear([desk.address])
-    gossip = RateLimitGossip(here, questions.known, lambda: True, questions.tell)
+    server.start()
+    client = PeerClient(routes, lambda: False, lambda *_: None, lambda: "")
+    client.remember([server.address])
+    gossip = RateLimitGossip(here, client.addresses, lambda: True, client.push)
     gossip.start()
-    here.advertised("u", 2.0, "answer")
+    here.note_limit("u", 2.0, "answer")
     until(lambda: there.per_second("u") == 2.0, "the peer's knowledge")
     gossip.stop()
-    desk.stop()
+    server.stop()
 
 
 def test_rate_is_passed_on_only_while_no_order_giver_is_heard():
@@ -179,14 +181,14 @@
     gossip = RateLimitGossip(
         rates, lambda: ["peer"], lambda: bool(silent), lambda *message: told.append(message)
     )
-    rates.advertised("u", 2.0, "answer")
+    rates.note_limit("u", 2.0, "answer")
     gossip.look(0.0)
     gossip.look(1.1)
     silent.append(True)
     gossip.look(1.2)
     assert told == []
     silent.clear()
-    rates.advertised("u", 3.0, "answer")
+    rates.note_limit("u", 3.0, "answer")
     gossip.look(2.0)
     silent.append(True)
     gossip.look(2.6)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
@@ -4,7 +4,7 @@
 from redwingscale_daemon._internal.swaps.order import Load, OrderResult
 from redwingscale_daemon._internal.swaps.tasks import SwapTask
 from redwingscale_daemon._internal.swaps.unanswered import UnansweredLoad, late_mb
-from redwingscale_daemon._internal.swaps.worker_orders import GiverRight, WorkerOrders
+from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority, WorkerOrders
 
 from .conftest import until, upstream
 
@@ -12,8 +12,8 @@
 @pytest.fixture
 def orders(engine, worker):
     def make(listed, unanswered=()):
-        right = GiverRight("i1", lambda: 5)
-        return WorkerOrders(listed, lambda: engine, worker, right, lambda: None, unanswered)
+        authority = OrderAuthority("i1", lambda: 5)
+        return WorkerOrders(listed, lambda: engine, worker, authority, lambda: None, unanswered)
 
     return make
 
@@ -25,12 +25,12 @@
 def test_report_of_another_start_voids_the_ledger(orders, worker):
     # The worker crashes and is back, empty, before the list tells. The ledger has it at
     # two models: requests were sent for them, and orders were counted from the old number.
-    one = orders(upstream("w")._replace(born=1))
-    worker.born = 1
+    one = orders(upstream("w")._replace(started_at_ms=1))
+    worker.started_at_ms = 1
     one.give(SwapTask((), "b", 0.01))
     assert idle(one)
     assert set(one.held()) == {"a", "b"}
-    worker.born, worker.held, worker.accepted = 2, {}, 0
+    worker.started_at_ms, worker.held, worker.accepted = 2, {}, 0
     one.ledger.forget()
     sent = len(worker.orders)
     one.give(SwapTask((), "c", 0.01))
