--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -14,11 +14,11 @@
 from redwingscale_daemon._internal.fleet.own_reports import OwnReports
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 from redwingscale_daemon._internal.forwarding.connection_pool import ConnectionPool
-from redwingscale_daemon._internal.forwarding.entry import Entry
 from redwingscale_daemon._internal.forwarding.holder_wait import HolderWait
 from redwingscale_daemon._internal.forwarding.parts import RelayParts
 from redwingscale_daemon._internal.forwarding.plain_relay import PlainRelay
 from redwingscale_daemon._internal.forwarding.repeat_budget import BudgetRule, RepeatBudget
+from redwingscale_daemon._internal.forwarding.request_handler import RequestHandler
 from redwingscale_daemon._internal.forwarding.sender import Sender
 from redwingscale_daemon._internal.forwarding.stream_relay import StreamRelay
 from redwingscale_daemon._internal.forwarding.upstream_connection import CONNECT_SECONDS
@@ -65,7 +65,7 @@
     limiter = UseLimiter(lambda: swaps.instances(), settings.bounds.use_slack)
     swaps = build_swaps(settings, uuid.uuid4().hex, store, routes, fleet, metrics, reads, limiter)
     own_reports = _own_reports(settings, routes, fleet, reads)
-    entry = _entry(
+    handler = _request_handler(
         settings,
         swaps,
         routes,
@@ -77,7 +77,7 @@
         limiter,
         lambda: callers.crowded,
     )
-    callers = _callers(settings, entry)
+    callers = _callers(settings, handler)
     followers = _followers(settings.bounds, store, routes, fleet, swaps, reads, own_reports)
     parts = IngressParts(
         callers=callers,
@@ -133,7 +133,7 @@
     )
 
 
-def _entry(
+def _request_handler(
     settings: IngressSettings,
     swaps: Swaps,
     routes: CurrentRoutes,
@@ -144,7 +144,7 @@
     own_reports: OwnReports,
     limiter: UseLimiter,
     crowded: Callable[[], bool],
-) -> Entry:
+) -> RequestHandler:
     bounds = settings.bounds
     rule = BudgetRule(bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window)
     budget = RepeatBudget(rule, swaps.instances)
@@ -170,7 +170,7 @@
         fleet.gate,
         lambda: own_reports.caller_retry_seconds,
     )
-    return Entry(
+    return RequestHandler(
         routes,
         exchange,
         PlainRelay(parts, fleet.changes),
@@ -213,7 +213,7 @@
     )
 
 
-def _callers(settings: IngressSettings, entry: Entry) -> IngressServer:
+def _callers(settings: IngressSettings, handler: RequestHandler) -> IngressServer:
     limits = PortLimits(
         settings.request_threads,
         LARGEST_HEAD_BYTES,
@@ -222,7 +222,7 @@
         max(LEAST_REFUSING_THREADS, round(settings.request_threads * REFUSING_PART)),
         "callers",
     )
-    return IngressServer(entry.handle, *settings.callers, limits, entry.screen)
+    return IngressServer(handler.handle, *settings.callers, limits, handler.screen)
 
 
 def _probes(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/entry.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -41,7 +41,7 @@
         """Note a request, ``weight`` times by its urgency."""
 
 
-class Entry:
+class RequestHandler:
     """Routes, relays and refuses; each request gets exactly one final answer."""
 
     def __init__(
--- a/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
@@ -12,11 +12,11 @@
 from redwingscale_daemon._internal.fleet.fleet import new_fleet
 from redwingscale_daemon._internal.fleet.upstream import ResidentModel, Upstream
 from redwingscale_daemon._internal.forwarding.connection_pool import ConnectionPool
-from redwingscale_daemon._internal.forwarding.entry import Entry
 from redwingscale_daemon._internal.forwarding.holder_wait import HolderWait
 from redwingscale_daemon._internal.forwarding.parts import RelayParts
 from redwingscale_daemon._internal.forwarding.plain_relay import PlainRelay
 from redwingscale_daemon._internal.forwarding.repeat_budget import BudgetRule, RepeatBudget
+from redwingscale_daemon._internal.forwarding.request_handler import RequestHandler
 from redwingscale_daemon._internal.forwarding.sender import Sender
 from redwingscale_daemon._internal.forwarding.stream_relay import StreamRelay
 from redwingscale_daemon._internal.ingress.ingress_server import IngressServer, PortLimits
@@ -234,13 +234,13 @@
             fleet.gate,
             lambda: self.cut_off,
         )
-        entry = Entry(
+        handler = RequestHandler(
             self.routes, exchange, PlainRelay(parts, self.changes), StreamRelay(parts, wait, fleet.prefixes),
             self.local_demand, budget, self.open_requests, _Outcomes(self.ended),
             self.limiter,
         )  # fmt: skip
         self.server = IngressServer(
-            entry.handle, "127.0.0.1", 0, PortLimits(16, 16384, 1 << 20, 10), entry.screen
+            handler.handle, "127.0.0.1", 0, PortLimits(16, 16384, 1 << 20, 10), handler.screen
         )
 
     def start(self):
