--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/giving_up.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/final_refusal.py
@@ -5,7 +5,7 @@
 from redwingscale_daemon._internal.models.run_state import RunState
 
 
-def given_up(call: Call, code: str, detail: str, come_back_seconds: float) -> Refusal:
+def final_refusal(call: Call, code: str, detail: str, retry_after_seconds: float) -> Refusal:
     """Return the final answer: a refusal, or a failure where the request may have run.
 
     A refusal promises that it has not: a request that an upstream has taken before
@@ -13,5 +13,5 @@
     """
     detail = "; ".join([detail, *call.attempts.history])
     if call.attempts.ran_nowhere:
-        return Refusal(503, code, detail, retry_after_seconds=come_back_seconds)
+        return Refusal(503, code, detail, retry_after_seconds=retry_after_seconds)
     return Refusal(502, "upstream_failed", detail, run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -14,7 +14,7 @@
 from redwingscale_daemon._internal.fleet.send_gate import SendGate
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.forwarding.call import Call
-from redwingscale_daemon._internal.forwarding.giving_up import given_up
+from redwingscale_daemon._internal.forwarding.final_refusal import final_refusal
 from redwingscale_daemon._internal.forwarding.send_wait import SendWait
 from redwingscale_daemon._internal.lifecycle.open_requests import OpenRequests
 
@@ -138,7 +138,7 @@
         # A planned stop must not cut a request that it has read: one that still
         # waits when the process is about to end would be closed without an answer.
         if self.open_requests.ends_at - time.monotonic() < STOP_MARGIN_SECONDS:
-            raise given_up(call, "stopping", "the instance stops", STOPPING_COME_BACK_SECONDS)
+            raise final_refusal(call, "stopping", "the instance stops", STOPPING_COME_BACK_SECONDS)
 
     def _check_retry_times(
         self, call: Call, prompt: Prompt, throttled: list[str], ready_in: float | None
@@ -150,12 +150,12 @@
         self.demand.note_overload(call.service, prompt.unit)
         detail = f"{','.join(throttled)} may be asked again in {retry_in:.2f} s"
         come_back = min(retry_in, ready_in or COME_BACK_SECONDS)
-        raise given_up(call, "upstream_rejects", detail, come_back)
+        raise final_refusal(call, "upstream_rejects", detail, come_back)
 
     def _give_up_if_hopeless(self, call: Call, prompt: Prompt, waited: float) -> None:
         if (come_back := self.cut_off()) is not None:
             # Nobody hears of the need from here: another instance may be better off.
-            raise given_up(call, "cut_off", f"no news of {prompt.unit}", come_back)
+            raise final_refusal(call, "cut_off", f"no news of {prompt.unit}", come_back)
         left = _patience(call)
         ready_in = self.residency.ready_in(str(prompt.unit))
         throttled = self.chooser.throttled_holders(call.service, prompt, call.attempts.tried)
@@ -170,7 +170,7 @@
         if not hopeless:
             return
         detail = f"{prompt.unit} is ready in {ready_in} s, {left:.3f} s are left"
-        raise given_up(call, "no_holder", detail, ready_in or COME_BACK_SECONDS)
+        raise final_refusal(call, "no_holder", detail, ready_in or COME_BACK_SECONDS)
 
 
 def _overloaded(call: Call, found: Candidate) -> Refusal | None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/send_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/send_wait.py
@@ -7,7 +7,7 @@
 from redwingscale_daemon._internal.fleet.chooser import Candidate
 from redwingscale_daemon._internal.fleet.send_gate import SendGate
 from redwingscale_daemon._internal.forwarding.call import Call
-from redwingscale_daemon._internal.forwarding.giving_up import given_up
+from redwingscale_daemon._internal.forwarding.final_refusal import final_refusal
 
 # How often a waiting request looks whether its caller is still there.
 LOOK_SECONDS = 0.05
@@ -50,7 +50,7 @@
     def _refusal(self, call: Call, throttled: Collection[str], max_wait_seconds: float) -> Refusal:
         wait = self._gate.wait_seconds(throttled)
         limited = self._gate.rate_limited(throttled)
-        return given_up(
+        return final_refusal(
             call,
             "upstream_rate_limited" if limited else "upstream_rejects",
             f"{','.join(throttled)} would take it in {wait:.2f} s, {max_wait_seconds:.2f} s are left",
