--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sending_failure.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempt_failure.py
@@ -8,7 +8,7 @@
 
 # Answers by which an upstream says that it has failed: one of 503 was full, one of 504
 # had no time left.
-OWN_FAILURES = frozenset({500, 502})
+FAILURE_STATUSES = frozenset({500, 502})
 
 
 def note_failure(parts: RelayParts, call: Call, outcome: NotRun | Lost) -> None:
@@ -26,6 +26,6 @@
         upstream=outcome.upstream.id,
         outcome=type(outcome).__name__,
         reason=outcome.reason,
-        sending=call.attempts.sendings,
+        sending=call.attempts.count,
         answer_begun=call.reply.started,
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
@@ -14,10 +14,10 @@
 from redwingscale_daemon._internal.routes.route import Route
 
 # Sendings that no upstream has run cost little, but each takes time from the deadline.
-MOST_SENDINGS = 4
+MAX_ATTEMPTS = 4
 
 
-class FailedAnswer(NamedTuple):
+class FailedResponse(NamedTuple):
     """An upstream's own answer that another sending was to better."""
 
     status: int
@@ -33,10 +33,10 @@
         self._service = service
         self._budget = budget
         self.tried: set[str] = set()
-        self.sendings = 0
-        self.may_have_run = 0
+        self.count = 0
+        self.possible_runs = 0
         self.history: list[str] = []
-        self.failure: FailedAnswer | None = None
+        self.failure: FailedResponse | None = None
         # When the caller got its last event, monotonic; None before the first one.
         self.last_event_at: float | None = None
         self.longest_gap_seconds = 0.0
@@ -52,7 +52,7 @@
             "sent",
             request=request,
             upstream=upstream_id,
-            sending=self.sendings + 1,
+            sending=self.count + 1,
             among=chosen.among,
             cost_ms=round(chosen.cost_ms),
             open=load.requests,
@@ -61,13 +61,13 @@
             leaving=_or_dash(backpressure.leaving_seconds),
             retry_in=round(backpressure.retry_in, 3),
         )
-        if not self.sendings:
+        if not self.count:
             self._budget.note_request(self._service)
-        self.sendings += 1
+        self.count += 1
         self._sent_at = time.monotonic()
         self.tried.add(upstream_id)
 
-    def another_after(self, outcome: NotRun | Lost) -> bool:
+    def take_retry(self, outcome: NotRun | Lost) -> bool:
         """Return whether the request may be sent once more.
 
         A request that may have run is sent again only where the route allows it,
@@ -77,7 +77,7 @@
         if isinstance(outcome, NotRun) and outcome.retry_later:
             # It is chosen only when its time has come.
             self.tried.discard(outcome.upstream.id)
-        if self.sendings >= MOST_SENDINGS:
+        if self.count >= MAX_ATTEMPTS:
             return False
         match outcome:
             case NotRun(reached=False):
@@ -87,41 +87,41 @@
             case NotRun():
                 return self._budget.take(self._service)
             case Lost():
-                return self._may_run_again()
+                return self._take_repeat()
 
-    def failed(self, upstream_id: str, reason: str) -> bool:
+    def take_retry_after_error(self, upstream_id: str, reason: str) -> bool:
         """Note an answer that is a failure; return whether to try another upstream."""
         self.history.append(f"{upstream_id}:{reason}")
-        return self.sendings < MOST_SENDINGS and self._may_run_again()
+        return self.count < MAX_ATTEMPTS and self._take_repeat()
 
-    def first_event(self) -> float:
+    def note_first_event(self) -> float:
         """Note the first event of the newest sending; return the seconds that it took."""
-        seconds = self.waited()
+        seconds = self.seconds_since_send()
         if self.first_event_seconds is None:
             self.first_event_seconds = seconds
         return seconds
 
-    def delivered(self) -> None:
+    def note_delivery(self) -> None:
         """Note an event that the caller has got, and the pause before it."""
         now = time.monotonic()
         if self.last_event_at is not None:
             self.longest_gap_seconds = max(self.longest_gap_seconds, now - self.last_event_at)
         self.last_event_at = now
 
-    def waited(self) -> float:
+    def seconds_since_send(self) -> float:
         """Return the seconds since the newest sending."""
         return time.monotonic() - self._sent_at
 
     @property
-    def ran_nowhere(self) -> bool:
+    def certainly_not_run(self) -> bool:
         """Whether no upstream can have run the request, nor will."""
-        return self.may_have_run == 0
+        return self.possible_runs == 0
 
-    def _may_run_again(self) -> bool:
-        self.may_have_run += 1
+    def _take_repeat(self) -> bool:
+        self.possible_runs += 1
         return (
             self._route.repeatable
-            and self.may_have_run < self._route.most_upstreams
+            and self.possible_runs < self._route.most_upstreams
             and self._budget.take(self._service)
         )
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/dialect.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/dialect.py
@@ -26,7 +26,7 @@
     ) -> Headers:
         """Return the headers that every upstream gets; ``hide_key`` leaves out the caller's."""
 
-    def sending_headers(
+    def attempt_headers(
         self,
         common: Headers,
         upstream_name: str,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/final_refusal.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/final_refusal.py
@@ -12,6 +12,6 @@
     it was lost is none of that kind.
     """
     detail = "; ".join([detail, *call.attempts.history])
-    if call.attempts.ran_nowhere:
+    if call.attempts.certainly_not_run:
         return Refusal(503, code, detail, retry_after_seconds=retry_after_seconds)
     return Refusal(502, "upstream_failed", detail, run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -185,7 +185,7 @@
     queue, expected = found.queue_ms / MILLISECONDS, found.expected_ms / MILLISECONDS
     patience = _patience(call)
     excess = max(queue - longest, expected - patience)
-    if excess <= 0 or call.attempts.sendings:
+    if excess <= 0 or call.attempts.count:
         return None
     return Refusal(
         503,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -13,12 +13,12 @@
 from redwingscale_daemon._internal.fleet.changes import Changes
 from redwingscale_daemon._internal.fleet.chooser import Candidate
 from redwingscale_daemon._internal.fleet.upstream import Upstream
-from redwingscale_daemon._internal.forwarding.attempts import Attempts, FailedAnswer
+from redwingscale_daemon._internal.forwarding.attempt_failure import FAILURE_STATUSES, note_failure
+from redwingscale_daemon._internal.forwarding.attempts import Attempts, FailedResponse
 from redwingscale_daemon._internal.forwarding.call import Call
 from redwingscale_daemon._internal.forwarding.outcome import Answering, Lost, NotRun
 from redwingscale_daemon._internal.forwarding.parts import RelayParts
 from redwingscale_daemon._internal.forwarding.send_wait import SendWait
-from redwingscale_daemon._internal.forwarding.sending_failure import OWN_FAILURES, note_failure
 from redwingscale_daemon._internal.forwarding.whole_answer import read_whole
 from redwingscale_daemon._internal.models.run_state import RunState
 
@@ -78,7 +78,7 @@
     def _send(self, call: Call, upstream: Upstream) -> bool:
         """Return whether the caller has its answer; raise when it can have none."""
         parts = self._parts
-        headers = parts.dialect.sending_headers(
+        headers = parts.dialect.attempt_headers(
             call.headers, upstream.platform_name, call.watch.remaining(), PLAIN_PRIORITY, None
         )
         try:
@@ -92,14 +92,14 @@
                 return self._answer(call, outcome)
             case NotRun():
                 note_failure(self._parts, call, outcome)
-                if not call.attempts.another_after(outcome):
+                if not call.attempts.take_retry(outcome):
                     if _deliver_failure(call):
                         return True
                     raise _nobody(call.attempts)
                 return False
             case Lost():
                 note_failure(self._parts, call, outcome)
-                if not call.attempts.another_after(outcome):
+                if not call.attempts.take_retry(outcome):
                     if _deliver_failure(call):
                         return True
                     raise _lost(outcome.reason)
@@ -113,7 +113,7 @@
             answering.connection.discard()
             lost = Lost(upstream, f"answer broke off: {error!r}")
             note_failure(self._parts, call, lost)
-            if not call.attempts.another_after(lost):
+            if not call.attempts.take_retry(lost):
                 raise _lost(lost.reason) from error
             return False
         except TimeLimitReached:
@@ -124,22 +124,22 @@
             raise
         self._parts.sender.keep(answering)
         failed = response.status >= FIRST_SERVER_ERROR
-        if response.status in OWN_FAILURES:
-            self._parts.health.note_failure(upstream.id)
+        if response.status in FAILURE_STATUSES:
+            self._parts.health.failed(upstream.id)
         elif not failed:
             self._parts.health.note_answer(upstream.id)
         unsigned = response.status < FIRST_ERROR and not self._parts.dialect.is_signed(response)
-        if (failed or unsigned) and call.attempts.failed(upstream.id, f"status {response.status}"):
+        if (failed or unsigned) and call.attempts.take_retry_after_error(upstream.id, f"status {response.status}"):
             log_event(
                 "retried",
                 request=call.terms.request_id,
                 upstream=upstream.id,
                 reason=f"status {response.status}",
-                sending=call.attempts.sendings,
+                sending=call.attempts.count,
             )
             if failed and self._parts.dialect.is_signed(response):
                 headers = self._parts.dialect.answer_headers(response)
-                call.attempts.failure = FailedAnswer(response.status, headers, body)
+                call.attempts.failure = FailedResponse(response.status, headers, body)
             return False
         if unsigned:
             raise _lost("the answer bears no signature")
@@ -161,7 +161,7 @@
 
 
 def _nobody(attempts: Attempts) -> Refusal:
-    if not attempts.ran_nowhere:
+    if not attempts.certainly_not_run:
         return _lost("no other upstream is left")
     return Refusal(
         503,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -116,7 +116,7 @@
             self._ended(request, terms, call, refusal)
             self._refuse(refusal, reply)
         except CallerLeft:
-            if call is not None and not call.attempts.sendings:
+            if call is not None and not call.attempts.count:
                 call.permit.give_back()
             self._metrics.ended(request, "caller_left")
             log_event("caller_left", request=terms.request_id, route=_name(call))
@@ -213,7 +213,7 @@
             outcome=refusal.code if refusal else "answered",
             run=refusal.run if refusal else "run",
             detail=refusal.detail if refusal else "",
-            sendings=attempts.sendings if attempts else "-",
+            sendings=attempts.count if attempts else "-",
             history=";".join(attempts.history) if attempts else "",
             first_event=_rounded(attempts.first_event_seconds if attempts else None),
             longest_gap=_rounded(attempts.longest_gap_seconds if attempts else None),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -12,12 +12,12 @@
 from redwingscale_daemon._internal.fleet.load_tracker import LoadTicket
 from redwingscale_daemon._internal.fleet.prefix_memory import PrefixMemory
 from redwingscale_daemon._internal.fleet.prompt import Prompt
+from redwingscale_daemon._internal.forwarding.attempt_failure import FAILURE_STATUSES, note_failure
 from redwingscale_daemon._internal.forwarding.call import Call
 from redwingscale_daemon._internal.forwarding.events import Event, read_events
 from redwingscale_daemon._internal.forwarding.holder_wait import HolderWait
 from redwingscale_daemon._internal.forwarding.outcome import Answering, Lost, NotRun
 from redwingscale_daemon._internal.forwarding.parts import RelayParts
-from redwingscale_daemon._internal.forwarding.sending_failure import OWN_FAILURES, note_failure
 from redwingscale_daemon._internal.forwarding.whole_answer import read_whole
 from redwingscale_daemon._internal.models.run_state import RunState
 
@@ -80,7 +80,7 @@
             if not self._parts.gate.draw(candidate.upstream.id):
                 # Another request has used the permit, or was rejected.
                 continue
-            if not call.attempts.sendings:
+            if not call.attempts.count:
                 call.permit.check()
             upstream = candidate.upstream
             load = self._parts.load_tracker.total(upstream.id)
@@ -105,7 +105,7 @@
     ) -> bool:
         """Return whether the caller has its answer; raise when it can have none."""
         upstream = candidate.upstream
-        headers = self._parts.dialect.sending_headers(
+        headers = self._parts.dialect.attempt_headers(
             call.headers,
             upstream.platform_name,
             call.watch.remaining(),
@@ -124,10 +124,8 @@
                 return self._answer(call, outcome, candidate, progress, ticket)
             case Lost():
                 if not progress.events:
-                    waited = call.attempts.waited() * MILLISECONDS
-                    self._parts.latency_factors.observe(
-                        upstream.id, candidate.first_event_ms, waited
-                    )
+                    waited = call.attempts.seconds_since_send() * MILLISECONDS
+                    self._parts.latency_factors.observed(upstream.id, candidate.first_event_ms, waited)
                 return self._try_another(call, outcome)
             case NotRun():
                 return self._try_another(call, outcome)
@@ -174,11 +172,9 @@
         for event in read_events(answering.response):
             if not begun:
                 begun = True
-                ticket.note_prompt_read()
-                real = call.attempts.first_event() * MILLISECONDS
-                self._parts.latency_factors.observe(
-                    answering.upstream.id, candidate.first_event_ms, real
-                )
+                ticket.prompt_read()
+                real = call.attempts.note_first_event() * MILLISECONDS
+                self._parts.latency_factors.observed(answering.upstream.id, candidate.first_event_ms, real)
                 if real / MILLISECONDS > call.route.latency_target_seconds:
                     self._note_late(call)
             call.watch.silence_seconds = STREAM_SILENCE_SECONDS if call.route.resumable else None
@@ -188,7 +184,7 @@
                 call.reply.begin(answering.response.status, headers)
             call.reply.write(event.data)
             progress.delivered(event)
-            call.attempts.delivered()
+            call.attempts.note_delivery()
         if not call.reply.started:
             call.reply.begin(answering.response.status, headers)
 
@@ -200,10 +196,10 @@
         body = read_whole(answering.response)
         self._parts.sender.keep(answering)
         status = answering.response.status
-        if status in OWN_FAILURES:
-            self._parts.health.note_failure(answering.upstream.id)
+        if status in FAILURE_STATUSES:
+            self._parts.health.failed(answering.upstream.id)
         failed = status >= FIRST_SERVER_ERROR
-        if failed and call.attempts.failed(answering.upstream.id, f"status {status}"):
+        if failed and call.attempts.take_retry_after_error(answering.upstream.id, f"status {status}"):
             return False
         if call.reply.started:
             raise Refusal(502, "stream_broken", f"status {status}", run=RunState.RUN)
@@ -213,10 +209,10 @@
     def _try_another(self, call: Call, outcome: NotRun | Lost) -> bool:
         """Return False to go on at another upstream; raise when there may be none."""
         note_failure(self._parts, call, outcome)
-        if call.attempts.another_after(outcome):
+        if call.attempts.take_retry(outcome):
             call.watch.check_caller()
             return False
-        if call.attempts.ran_nowhere:
+        if call.attempts.certainly_not_run:
             raise Refusal(503, "refused", outcome.reason, retry_after_seconds=COME_BACK_SECONDS)
         raise Refusal(502, "upstream_failed", outcome.reason, run=RunState.UNKNOWN)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
@@ -75,7 +75,7 @@
     return kept if workspace is None else (*kept, (names.WORKSPACE, workspace))
 
 
-def sending_headers(
+def attempt_headers(
     common: Headers,
     upstream_name: str,
     seconds_left: float,
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
@@ -33,7 +33,7 @@
     return SimpleNamespace(
         service="llm",
         route=SimpleNamespace(latency_target_seconds=0.8, first_event_seconds=4.0),
-        attempts=SimpleNamespace(tried=set(), sendings=0, last_event_at=None),
+        attempts=SimpleNamespace(tried=set(), count=0, last_event_at=None),
         request=SimpleNamespace(arrived_at=time.monotonic()),
         watch=SimpleNamespace(remaining=lambda: 10.0),
     )
--- a/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
+++ b/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
@@ -253,6 +253,6 @@
 
 
 def test_a_continued_stream_names_its_last_event_once():
-    headers = exchange.sending_headers((("Last-Event-Id", "3"),), "i-1", 1.5, 2, 7)
+    headers = exchange.attempt_headers((("Last-Event-Id", "3"),), "i-1", 1.5, 2, 7)
     assert [value for name, value in headers if name == "Last-Event-Id"] == ["7"]
     assert ("X-Redwingscale-Deadline-Ms", "1500") in headers
