--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/dialect.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/dialect.py
@@ -36,10 +36,10 @@
     ) -> Headers:
         """Return the headers of one sending to one upstream."""
 
-    def answer_headers(self, response: HTTPResponse) -> Headers:
+    def response_headers(self, response: HTTPResponse) -> Headers:
         """Return the headers of an answer that the caller gets."""
 
-    def answers(self, response: HTTPResponse, request_id: str) -> bool:
+    def matches_request(self, response: HTTPResponse, request_id: str) -> bool:
         """Return whether an answer belongs to the request."""
 
     def is_signed(self, response: HTTPResponse) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/events.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/events.py
@@ -4,12 +4,12 @@
 from http.client import HTTPException, HTTPResponse
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.forwarding.whole_answer import end_answer
+from redwingscale_daemon._internal.forwarding.response_body import finish_response
 
 _READ_BYTES = 65536
 _ID_FIELD = b"id:"
 # An event has some hundred bytes; more without an end is no event.
-LONGEST_EVENT_BYTES = 1 << 20
+MAX_EVENT_BYTES = 1 << 20
 
 
 class Event(NamedTuple):
@@ -30,9 +30,9 @@
     while data := response.read1(_READ_BYTES):
         pending += data
         yield from _whole_events(pending)
-        if len(pending) > LONGEST_EVENT_BYTES:
+        if len(pending) > MAX_EVENT_BYTES:
             raise HTTPException("an event has no end")
-    end_answer(response)
+    finish_response(response)
     if pending:
         raise HTTPException("the answer ended inside an event")
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -18,8 +18,8 @@
 from redwingscale_daemon._internal.forwarding.call import Call
 from redwingscale_daemon._internal.forwarding.outcome import Answering, Lost, NotRun
 from redwingscale_daemon._internal.forwarding.parts import RelayParts
+from redwingscale_daemon._internal.forwarding.response_body import read_response_body
 from redwingscale_daemon._internal.forwarding.send_wait import SendWait
-from redwingscale_daemon._internal.forwarding.whole_answer import read_whole
 from redwingscale_daemon._internal.models.run_state import RunState
 
 FIRST_SERVER_ERROR = 500
@@ -108,7 +108,7 @@
     def _answer(self, call: Call, answering: Answering) -> bool:
         response, upstream = answering.response, answering.upstream
         try:
-            body = read_whole(response)
+            body = read_response_body(response)
         except (HTTPException, OSError, UpstreamSilent) as error:
             answering.connection.discard()
             lost = Lost(upstream, f"answer broke off: {error!r}")
@@ -138,12 +138,12 @@
                 sending=call.attempts.count,
             )
             if failed and self._parts.dialect.is_signed(response):
-                headers = self._parts.dialect.answer_headers(response)
+                headers = self._parts.dialect.response_headers(response)
                 call.attempts.failure = FailedResponse(response.status, headers, body)
             return False
         if unsigned:
             raise _lost("the answer bears no signature")
-        headers = self._parts.dialect.answer_headers(response)
+        headers = self._parts.dialect.response_headers(response)
         call.reply.whole(response.status, headers, body)
         return True
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/whole_answer.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/response_body.py
@@ -4,10 +4,10 @@
 
 _READ_BYTES = 65536
 # Answers that aren't streams have a few kilobytes.
-LARGEST_ANSWER_BYTES = 32 << 20
+MAX_BODY_BYTES = 32 << 20
 
 
-def read_whole(response: HTTPResponse) -> bytes:
+def read_response_body(response: HTTPResponse) -> bytes:
     """Return the body; raise HTTPException or OSError where it breaks off.
 
     An answer without a length ends with its connection: one that is reset on
@@ -16,13 +16,13 @@
     body = bytearray()
     while data := response.read1(_READ_BYTES):
         body += data
-        if len(body) > LARGEST_ANSWER_BYTES:
+        if len(body) > MAX_BODY_BYTES:
             raise HTTPException("the answer is too large")
-    end_answer(response)
+    finish_response(response)
     return bytes(body)
 
 
-def end_answer(response: HTTPResponse) -> None:
+def finish_response(response: HTTPResponse) -> None:
     """Close an answer that was read to its end; raise HTTPException if bytes are missing.
 
     The library ends an answer with a length only on a read that it counts
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
@@ -94,14 +94,14 @@
         the answer to this one is due; its id tells. The own one follows it.
         """
         response = connection.receive(watch)
-        if self._dialect.answers(response, request_id):
+        if self._dialect.matches_request(response, request_id):
             return response
         if response.will_close or connection.answers < 2:
             return None
         if len(response.read(_DISCARDED_BYTES)) == _DISCARDED_BYTES:
             return None
         response = connection.receive_next(request.method)
-        return response if self._dialect.answers(response, request_id) else None
+        return response if self._dialect.matches_request(response, request_id) else None
 
     def _note(self, upstream: Upstream, response: HTTPResponse, sent_at: float) -> Backpressure:
         if self._dialect.is_from_another(response, upstream.platform_name):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -18,7 +18,7 @@
 from redwingscale_daemon._internal.forwarding.holder_wait import HolderWait
 from redwingscale_daemon._internal.forwarding.outcome import Answering, Lost, NotRun
 from redwingscale_daemon._internal.forwarding.parts import RelayParts
-from redwingscale_daemon._internal.forwarding.whole_answer import read_whole
+from redwingscale_daemon._internal.forwarding.response_body import read_response_body
 from redwingscale_daemon._internal.models.run_state import RunState
 
 FIRST_ERROR = 400
@@ -167,7 +167,7 @@
         progress: _Progress,
         ticket: LoadTicket,
     ) -> None:
-        headers = self._parts.dialect.answer_headers(answering.response)
+        headers = self._parts.dialect.response_headers(answering.response)
         begun = False
         for event in read_events(answering.response):
             if not begun:
@@ -193,7 +193,7 @@
             self._wait.demand.note_overload(call.service, call.terms.prompt.unit)
 
     def _pass_failure(self, call: Call, answering: Answering) -> bool:
-        body = read_whole(answering.response)
+        body = read_response_body(answering.response)
         self._parts.sender.keep(answering)
         status = answering.response.status
         if status in FAILURE_STATUSES:
@@ -203,7 +203,7 @@
             return False
         if call.reply.started:
             raise Refusal(502, "stream_broken", f"status {status}", run=RunState.RUN)
-        call.reply.whole(status, self._parts.dialect.answer_headers(answering.response), body)
+        call.reply.whole(status, self._parts.dialect.response_headers(answering.response), body)
         return True
 
     def _try_another(self, call: Call, outcome: NotRun | Lost) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
@@ -96,7 +96,7 @@
     )
 
 
-def answer_headers(response: HTTPResponse) -> Headers:
+def response_headers(response: HTTPResponse) -> Headers:
     """Return the headers of an upstream's answer that the caller gets."""
     return tuple(
         (name, value)
@@ -105,7 +105,7 @@
     )
 
 
-def answers(response: HTTPResponse, request_id: str) -> bool:
+def matches_request(response: HTTPResponse, request_id: str) -> bool:
     """Return whether an answer belongs to the request."""
     return bool(response.headers.get(names.REQUEST_ID) == request_id)
 
