--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -28,15 +28,15 @@
 SERVICE_SECONDS = 0.25
 # Without news of a load there is none under way: coming back soon would only be
 # refused again.
-COME_BACK_SECONDS = 2.0
-OVERLOADED_COME_BACK_SECONDS = 1.0
+NO_HOLDER_RETRY_SECONDS = 2.0
+OVERLOADED_RETRY_SECONDS = 1.0
 # A request behind a queue of more latency targets than this is refused.
 OVERLOAD_TARGETS = 2.0
 MILLISECONDS = 1000.0
 # Before the end of the process, for the answer to reach the caller.
 STOP_MARGIN_SECONDS = 0.8
 # Another instance takes the request at once.
-STOPPING_COME_BACK_SECONDS = 0.05
+STOPPING_RETRY_SECONDS = 0.05
 
 
 class WaitSink(Protocol):
@@ -63,7 +63,7 @@
     gate: SendGate
     # When to come back if this instance hears neither the order giver nor the list, None
     # while it hears one of them.
-    cut_off: Callable[[], float | None] = lambda: None
+    caller_retry_seconds: Callable[[], float | None] = lambda: None
 
     def candidate(self, call: Call, prompt: Prompt) -> Candidate:
         """Return the best holder, waiting for one; raise `Refusal` or `CallerLeft`.
@@ -138,7 +138,7 @@
         # A planned stop must not cut a request that it has read: one that still
         # waits when the process is about to end would be closed without an answer.
         if self.open_requests.ends_at - time.monotonic() < STOP_MARGIN_SECONDS:
-            raise final_refusal(call, "stopping", "the instance stops", STOPPING_COME_BACK_SECONDS)
+            raise final_refusal(call, "stopping", "the instance stops", STOPPING_RETRY_SECONDS)
 
     def _check_retry_times(
         self, call: Call, prompt: Prompt, throttled: list[str], ready_in: float | None
@@ -149,13 +149,13 @@
             return
         self.demand.note_overload(call.service, prompt.unit)
         detail = f"{','.join(throttled)} may be asked again in {retry_in:.2f} s"
-        come_back = min(retry_in, ready_in or COME_BACK_SECONDS)
-        raise final_refusal(call, "upstream_rejects", detail, come_back)
+        retry_seconds = min(retry_in, ready_in or NO_HOLDER_RETRY_SECONDS)
+        raise final_refusal(call, "upstream_rejects", detail, retry_seconds)
 
     def _give_up_if_hopeless(self, call: Call, prompt: Prompt, waited: float) -> None:
-        if (come_back := self.cut_off()) is not None:
+        if (retry_seconds := self.caller_retry_seconds()) is not None:
             # Nobody hears of the need from here: another instance may be better off.
-            raise final_refusal(call, "cut_off", f"no news of {prompt.unit}", come_back)
+            raise final_refusal(call, "cut_off", f"no news of {prompt.unit}", retry_seconds)
         left = _patience(call)
         ready_in = self.residency.ready_in(str(prompt.unit))
         throttled = self.chooser.throttled_holders(call.service, prompt, call.attempts.tried)
@@ -170,7 +170,7 @@
         if not hopeless:
             return
         detail = f"{prompt.unit} is ready in {ready_in} s, {left:.3f} s are left"
-        raise final_refusal(call, "no_holder", detail, ready_in or COME_BACK_SECONDS)
+        raise final_refusal(call, "no_holder", detail, ready_in or NO_HOLDER_RETRY_SECONDS)
 
 
 def _overloaded(call: Call, found: Candidate) -> Refusal | None:
@@ -192,7 +192,7 @@
         "overloaded",
         f"{found.upstream.id} would begin in {expected:.2f} s behind {queue:.2f} s of others; "
         f"{longest:.2f} s of them and {patience:.2f} s in all are worth waiting",
-        retry_after_seconds=max(OVERLOADED_COME_BACK_SECONDS, excess),
+        retry_after_seconds=max(OVERLOADED_RETRY_SECONDS, excess),
     )
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -25,7 +25,7 @@
 FIRST_SERVER_ERROR = 500
 FIRST_ERROR = 400
 # A full upstream has places again within a few requests' time.
-COME_BACK_SECONDS = 0.2
+NO_UPSTREAM_RETRY_SECONDS = 0.2
 PLAIN_PRIORITY = 5
 # A request that waits must leave its upstream time to run it.
 SERVICE_SECONDS = 0.25
@@ -167,7 +167,7 @@
         503,
         "no_upstream",
         "; ".join(attempts.history) or "no upstream is known",
-        retry_after_seconds=COME_BACK_SECONDS,
+        retry_after_seconds=NO_UPSTREAM_RETRY_SECONDS,
     )
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -29,9 +29,9 @@
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
 from redwingscale_daemon._internal.workspaces.workspace import Workspace
 
-COME_BACK_SECONDS = 0.5
+NO_CONFIGURATION_RETRY_SECONDS = 0.5
 # Another instance takes the request; here a thread is free when a stream ends.
-CROWDED_COME_BACK_SECONDS = 0.3
+NO_THREAD_RETRY_SECONDS = 0.3
 
 
 class DemandSink(Protocol):
@@ -131,7 +131,7 @@
                 503,
                 "no_configuration",
                 "no configuration is known yet",
-                retry_after_seconds=COME_BACK_SECONDS,
+                retry_after_seconds=NO_CONFIGURATION_RETRY_SECONDS,
             )
         route = table.find(request.host, request.path)
         if route is None:
@@ -146,7 +146,7 @@
                 503,
                 "no_thread",
                 "as many requests are open as this instance may serve at once",
-                retry_after_seconds=CROWDED_COME_BACK_SECONDS,
+                retry_after_seconds=NO_THREAD_RETRY_SECONDS,
             )
         permit.draw(terms.request_id, terms.tokens)
         service = draw_service(route, self._random)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/send_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/send_wait.py
@@ -11,7 +11,7 @@
 
 # How often a waiting request looks whether its caller is still there.
 LOOK_SECONDS = 0.05
-LEAST_COME_BACK_SECONDS = 0.3
+MIN_RETRY_SECONDS = 0.3
 
 
 class SendWait:
@@ -54,5 +54,5 @@
             call,
             "upstream_rate_limited" if limited else "upstream_rejects",
             f"{','.join(throttled)} would take it in {wait:.2f} s, {max_wait_seconds:.2f} s are left",
-            max(LEAST_COME_BACK_SECONDS, wait),
+            max(MIN_RETRY_SECONDS, wait),
         )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -31,7 +31,7 @@
 STREAM_SILENCE_SECONDS = 1.6
 # Before the first event a sound upstream may have a queue.
 FIRST_EVENT_SILENCE_SECONDS = 2.2
-COME_BACK_SECONDS = 0.3
+REFUSED_RETRY_SECONDS = 0.3
 MILLISECONDS = 1000.0
 
 
@@ -213,7 +213,7 @@
             call.watch.check_caller()
             return False
         if call.attempts.certainly_not_run:
-            raise Refusal(503, "refused", outcome.reason, retry_after_seconds=COME_BACK_SECONDS)
+            raise Refusal(503, "refused", outcome.reason, retry_after_seconds=REFUSED_RETRY_SECONDS)
         raise Refusal(502, "upstream_failed", outcome.reason, run=RunState.UNKNOWN)
 
 
--- a/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
@@ -224,7 +224,7 @@
             fleet.gate,
             fleet.backpressure,
         )
-        self.cut_off = None
+        self.caller_retry_seconds = None
         wait = HolderWait(
             chooser,
             self.changes,
@@ -232,7 +232,7 @@
             self.local_demand,
             self.open_requests,
             fleet.gate,
-            lambda: self.cut_off,
+            lambda: self.caller_retry_seconds,
         )
         handler = RequestHandler(
             self.routes, exchange, PlainRelay(parts, self.changes), StreamRelay(parts, wait, fleet.prefixes),
