--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -19,7 +19,7 @@
 from redwingscale_daemon._internal.forwarding.outcome import Answering, Lost, NotRun
 from redwingscale_daemon._internal.forwarding.parts import RelayParts
 from redwingscale_daemon._internal.forwarding.response_body import read_response_body
-from redwingscale_daemon._internal.forwarding.send_wait import SendWait
+from redwingscale_daemon._internal.forwarding.throttle_wait import ThrottleWait
 from redwingscale_daemon._internal.models.run_state import RunState
 
 FIRST_SERVER_ERROR = 500
@@ -28,7 +28,7 @@
 NO_UPSTREAM_RETRY_SECONDS = 0.2
 PLAIN_PRIORITY = 5
 # A request that waits must leave its upstream time to run it.
-SERVICE_SECONDS = 0.25
+MIN_SERVICE_SECONDS = 0.25
 
 
 class PlainRelay:
@@ -36,7 +36,7 @@
 
     def __init__(self, parts: RelayParts, changes: Changes) -> None:
         self._parts = parts
-        self._send_wait = SendWait(parts.gate, changes)
+        self._throttle_wait = ThrottleWait(parts.gate, changes)
 
     def run(self, call: Call) -> None:
         """Answer ``call``; raise `Refusal`, `CallerLeft`."""
@@ -71,8 +71,8 @@
         throttled = self._parts.chooser.throttled_plain(call.service, call.attempts.tried)
         if not throttled:
             return None
-        return self._send_wait.candidate(
-            call, throttled, lambda: call.watch.remaining() - SERVICE_SECONDS, choose
+        return self._throttle_wait.wait_for_candidate(
+            call, throttled, lambda: call.watch.remaining() - MIN_SERVICE_SECONDS, choose
         )
 
     def _send(self, call: Call, upstream: Upstream) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -32,7 +32,7 @@
 # Before the first event a sound upstream may have a queue.
 FIRST_EVENT_SILENCE_SECONDS = 2.2
 REFUSED_RETRY_SECONDS = 0.3
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 
 
 class _Progress:
@@ -76,7 +76,7 @@
         """
         progress = _Progress(call.terms.last_event)
         while True:
-            candidate = self._wait.candidate(call, prompt)
+            candidate = self._wait.choose_holder(call, prompt)
             if not self._parts.gate.draw(candidate.upstream.id):
                 # Another request has used the permit, or was rejected.
                 continue
@@ -124,7 +124,7 @@
                 return self._answer(call, outcome, candidate, progress, ticket)
             case Lost():
                 if not progress.events:
-                    waited = call.attempts.seconds_since_send() * MILLISECONDS
+                    waited = call.attempts.seconds_since_send() * MILLISECONDS_PER_SECOND
                     self._parts.latency_factors.observed(upstream.id, candidate.first_event_ms, waited)
                 return self._try_another(call, outcome)
             case NotRun():
@@ -173,9 +173,9 @@
             if not begun:
                 begun = True
                 ticket.prompt_read()
-                real = call.attempts.note_first_event() * MILLISECONDS
+                real = call.attempts.note_first_event() * MILLISECONDS_PER_SECOND
                 self._parts.latency_factors.observed(answering.upstream.id, candidate.first_event_ms, real)
-                if real / MILLISECONDS > call.route.latency_target_seconds:
+                if real / MILLISECONDS_PER_SECOND > call.route.latency_target_seconds:
                     self._note_late(call)
             call.watch.silence_seconds = STREAM_SILENCE_SECONDS if call.route.resumable else None
             if not progress.wants(event):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/send_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/throttle_wait.py
@@ -10,11 +10,11 @@
 from redwingscale_daemon._internal.forwarding.final_refusal import final_refusal
 
 # How often a waiting request looks whether its caller is still there.
-LOOK_SECONDS = 0.05
+CALLER_CHECK_SECONDS = 0.05
 MIN_RETRY_SECONDS = 0.3
 
 
-class SendWait:
+class ThrottleWait:
     """Holds a request while its turn comes in time, and refuses it at once where it does not."""
 
     def __init__(self, gate: SendGate, changes: Changes) -> None:
@@ -26,14 +26,14 @@
         if self._gate.wait_seconds(throttled) > max_wait_seconds:
             raise self._refusal(call, throttled, max_wait_seconds)
 
-    def candidate(
+    def wait_for_candidate(
         self,
         call: Call,
         throttled: Collection[str],
         max_wait_seconds: Callable[[], float],
         choose: Callable[[], Candidate | None],
     ) -> Candidate:
-        """Return what ``choose`` finds before patience ends; raise `Refusal`, `CallerLeft`."""
+        """Return what ``choose`` finds before seconds_left ends; raise `Refusal`, `CallerLeft`."""
         self.check_queue(call, throttled, max_wait_seconds())
         with self._gate.waiting(throttled):
             while True:
@@ -41,10 +41,10 @@
                 if (found := choose()) is not None:
                     return found
                 # A rejection may have come meanwhile that names a later time.
-                patience = max(0.0, max_wait_seconds())
-                if not patience or self._gate.retry_seconds(throttled) > patience:
-                    raise self._refusal(call, throttled, patience)
-                self._changes.wait(seen, LOOK_SECONDS)
+                seconds_left = max(0.0, max_wait_seconds())
+                if not seconds_left or self._gate.retry_seconds(throttled) > seconds_left:
+                    raise self._refusal(call, throttled, seconds_left)
+                self._changes.wait(seen, CALLER_CHECK_SECONDS)
                 call.watch.check_caller()
 
     def _refusal(self, call: Call, throttled: Collection[str], max_wait_seconds: float) -> Refusal:
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
@@ -41,7 +41,7 @@
 
 def candidate(call, drawn, best, local_demand):
     wait = HolderWait(Holders(drawn, best), None, None, local_demand, None, None)
-    return wait.candidate(call, PROMPT)
+    return wait.choose_holder(call, PROMPT)
 
 
 def test_a_calm_holder_that_was_not_drawn_takes_the_request(call):
