--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/connection_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/connection_pool.py
@@ -12,7 +12,7 @@
 DEFAULT_IDLE_SECONDS = 2.0
 # The upstream counts from its last byte, this side from its arrival.
 IDLE_MARGIN_SECONDS = 0.7
-MOST_IDLE_EACH = 32
+MAX_IDLE_PER_UPSTREAM = 32
 
 
 class ConnectionPool:
@@ -27,7 +27,7 @@
         """Return a kept connection that is open and silent, None without one."""
         while (connection := self._pop(upstream.id)) is not None:
             fresh = time.monotonic() < connection.expires_at
-            if fresh and connection.is_quiet():
+            if fresh and connection.is_reusable():
                 return connection
             connection.discard()
         return None
@@ -40,7 +40,7 @@
             self.opened += 1
         return connection
 
-    def give_back(
+    def put_back(
         self, upstream: Upstream, connection: UpstreamConnection, idle_seconds: float | None
     ) -> None:
         """Keep ``connection`` after a whole answer, if it can serve another request."""
@@ -48,7 +48,7 @@
         connection.expires_at = time.monotonic() + allowed - IDLE_MARGIN_SECONDS
         with self._lock:
             idle = self._idle_by_upstream[upstream.id]
-            keep = len(idle) < MOST_IDLE_EACH and allowed > IDLE_MARGIN_SECONDS
+            keep = len(idle) < MAX_IDLE_PER_UPSTREAM and allowed > IDLE_MARGIN_SECONDS
             if keep:
                 idle.append(connection)
         if not keep:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -122,7 +122,7 @@
         except CallerLeft:
             answering.connection.discard()
             raise
-        self._parts.sender.keep(answering)
+        self._parts.sender.release(answering)
         failed = response.status >= FIRST_SERVER_ERROR
         if response.status in FAILURE_STATUSES:
             self._parts.health.failed(upstream.id)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
@@ -22,7 +22,7 @@
 from redwingscale_daemon._internal.ingress.ingress_request import Headers, IngressRequest
 
 # Refusals and answers to others are small; what is larger isn't worth reading.
-_DISCARDED_BYTES = 65536
+_MAX_DISCARDED_BYTES = 65536
 
 Outcome = Answering | NotRun | Lost
 
@@ -57,7 +57,7 @@
         sent_at = time.monotonic()
         try:
             connection.send_request(request.method, request.target, headers, request.body)
-            response = self._own_answer(connection, request, request_id, watch)
+            response = self._matching_response(connection, request, request_id, watch)
         except (CallerLeft, TimeLimitReached):
             connection.discard()
             raise
@@ -67,21 +67,21 @@
         if response is None:
             connection.discard()
             return Lost(upstream, "answers of other requests")
-        backpressure = self._note(upstream, response, sent_at)
+        backpressure = self._note_backpressure(upstream, response, sent_at)
         if self._dialect.was_not_run(response):
-            refused = self._refused(upstream, connection, response)
+            refused = self._not_run(upstream, connection, response)
             return refused._replace(retry_later=bool(backpressure.retry_after_seconds))
         return Answering(upstream, connection, response)
 
-    def keep(self, answering: Answering) -> None:
+    def release(self, answering: Answering) -> None:
         """Give the connection of a whole answer back."""
         idle = self._dialect.idle_seconds(answering.response)
-        if idle == 0.0 or not answering.connection.is_quiet():
+        if idle == 0.0 or not answering.connection.is_reusable():
             answering.connection.discard()
             return
-        self._pool.give_back(answering.upstream, answering.connection, idle)
+        self._pool.put_back(answering.upstream, answering.connection, idle)
 
-    def _own_answer(
+    def _matching_response(
         self,
         connection: UpstreamConnection,
         request: IngressRequest,
@@ -93,26 +93,26 @@
         An upstream may send a second answer to an earlier request just where
         the answer to this one is due; its id tells. The own one follows it.
         """
-        response = connection.receive(watch)
+        response = connection.receive_response(watch)
         if self._dialect.matches_request(response, request_id):
             return response
-        if response.will_close or connection.answers < 2:
+        if response.will_close or connection.response_count < 2:
             return None
-        if len(response.read(_DISCARDED_BYTES)) == _DISCARDED_BYTES:
+        if len(response.read(_MAX_DISCARDED_BYTES)) == _MAX_DISCARDED_BYTES:
             return None
-        response = connection.receive_next(request.method)
+        response = connection.receive_extra_response(request.method)
         return response if self._dialect.matches_request(response, request_id) else None
 
-    def _note(self, upstream: Upstream, response: HTTPResponse, sent_at: float) -> Backpressure:
+    def _note_backpressure(self, upstream: Upstream, response: HTTPResponse, sent_at: float) -> Backpressure:
         if self._dialect.is_from_another(response, upstream.platform_name):
             return Backpressure()
         backpressure = self._dialect.read_backpressure(response.status, response.headers)
         # What answers without a signature may be garbled.
-        signed_at = sent_at if self._dialect.is_signed(response) else None
-        self._backpressure.take(upstream.id, backpressure, "answer", signed_at)
+        signed_sent_at = sent_at if self._dialect.is_signed(response) else None
+        self._backpressure.take(upstream.id, backpressure, "answer", signed_sent_at)
         return backpressure
 
-    def _refused(
+    def _not_run(
         self, upstream: Upstream, connection: UpstreamConnection, response: HTTPResponse
     ) -> NotRun:
         reason = f"status {response.status}"
@@ -121,9 +121,9 @@
         with contextlib.suppress(
             HTTPException, OSError, UpstreamSilent, TimeLimitReached, CallerLeft
         ):
-            response.read(_DISCARDED_BYTES)
+            response.read(_MAX_DISCARDED_BYTES)
         if response.isclosed():
-            self.keep(answering)
+            self.release(answering)
         else:
             connection.discard()
         misdirected = self._dialect.is_misdirected(response)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -155,8 +155,8 @@
         except (CallerLeft, Refusal):
             answering.connection.discard()
             raise
-        self._parts.sender.keep(answering)
-        self._parts.health.note_answer(answering.upstream.id)
+        self._parts.sender.release(answering)
+        self._parts.health.answered(answering.upstream.id)
         return True
 
     def _pass_events(
@@ -194,7 +194,7 @@
 
     def _pass_failure(self, call: Call, answering: Answering) -> bool:
         body = read_response_body(answering.response)
-        self._parts.sender.keep(answering)
+        self._parts.sender.release(answering)
         status = answering.response.status
         if status in FAILURE_STATUSES:
             self._parts.health.failed(answering.upstream.id)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/upstream_connection.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/upstream_connection.py
@@ -25,7 +25,7 @@
 
 
 @contextmanager
-def _without_waiting(sock: socket.socket) -> Iterator[None]:
+def _nonblocking(sock: socket.socket) -> Iterator[None]:
     # A flag for one call is not enough: with a timeout set, the language waits
     # for the socket before it makes the call.
     timeout = sock.gettimeout()
@@ -49,24 +49,24 @@
     def readinto(self, buffer: Any) -> int | None:
         if self.watch is None:
             return self._read_pending(buffer)
-        self.watch.until_readable(self._sock)
+        self.watch.wait_until_readable(self._sock)
         return self._sock.recv_into(buffer)
 
     def _read_pending(self, buffer: Any) -> int | None:
-        with _without_waiting(self._sock):
+        with _nonblocking(self._sock):
             try:
                 return self._sock.recv_into(buffer)
             except BlockingIOError:
                 return None
 
 
-class _KeptReader(io.BufferedReader):
+class _PersistentReader(io.BufferedReader):
     """Lives as long as its connection, so that bytes beyond an answer are seen."""
 
     def close(self) -> None:
         """Do nothing: the response closes its file at its end."""
 
-    def really_close(self) -> None:
+    def close_now(self) -> None:
         super().close()
 
 
@@ -76,17 +76,17 @@
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
         self.raw = _WatchedReader(sock)
-        self.reader = _KeptReader(self.raw, _READ_BYTES)
+        self.reader = _PersistentReader(self.raw, _READ_BYTES)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._sock, name)
 
-    def makefile(self, *_: object, **__: object) -> _KeptReader:
+    def makefile(self, *_: object, **__: object) -> _PersistentReader:
         return self.reader
 
     def is_idle(self) -> bool:
         """Return whether the socket is open and has nothing to read."""
-        with _without_waiting(self._sock):
+        with _nonblocking(self._sock):
             try:
                 self._sock.recv(1, socket.MSG_PEEK)
             except BlockingIOError:
@@ -99,8 +99,8 @@
     def close(self) -> None:
         """Do nothing: the library closes early where an answer ends with the connection."""
 
-    def really_close(self) -> None:
-        self.reader.really_close()
+    def close_now(self) -> None:
+        self.reader.close_now()
         self._sock.close()
 
 
@@ -110,7 +110,7 @@
     def __init__(self, host: str, port: int) -> None:
         super().__init__(host, port, timeout=CONNECT_SECONDS)
         self._watched: _WatchedSocket | None = None
-        self.answers = 0
+        self.response_count = 0
         self.idle_since = 0.0
         # When the upstream may close this connection; it tells so in its answers.
         self.expires_at = float("inf")
@@ -136,24 +136,24 @@
             self.putheader("Content-Length", str(len(body)))
         self.endheaders(body or None)
 
-    def receive(self, watch: Watch) -> HTTPResponse:
+    def receive_response(self, watch: Watch) -> HTTPResponse:
         """Return the head of the answer; raise as `Watch` and the library do."""
         assert self._watched is not None
         self._watched.raw.watch = watch
         # The library's own response: read in pieces as they come, and never
         # decoded or followed up.
         response = super(HTTPConnection, self).getresponse()
-        self.answers += 1
+        self.response_count += 1
         return response
 
-    def receive_next(self, method: str) -> HTTPResponse:
+    def receive_extra_response(self, method: str) -> HTTPResponse:
         """Return one more answer than requests were sent; the first one was not ours."""
         assert self._watched is not None
         response = HTTPResponse(self._watched, method=method)  # type: ignore[arg-type]
         response.begin()
         return response
 
-    def is_quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether the connection is open and nothing has come unasked.
 
         An upstream may send bytes after a whole answer, or a second one late:
@@ -183,6 +183,6 @@
             with contextlib.suppress(OSError):
                 self.sock.setsockopt(*RESET_ON_CLOSE)
         if self._watched is not None:
-            self._watched.really_close()
+            self._watched.close_now()
         elif self.sock is not None:
             self.sock.close()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/watch.py
@@ -6,9 +6,9 @@
 
 from redwingscale_daemon._internal.exceptions import CallerLeft, TimeLimitReached, UpstreamSilent
 
-_GONE = select.POLLHUP | select.POLLERR | select.POLLRDHUP
+_CLOSED_EVENTS = select.POLLHUP | select.POLLERR | select.POLLRDHUP
 _UPSTREAM_EVENTS = select.POLLIN | select.POLLHUP | select.POLLERR
-_MILLISECONDS = 1000.0
+_MILLISECONDS_PER_SECOND = 1000.0
 
 
 class Watch:
@@ -34,9 +34,9 @@
         poller = select.poll()
         poller.register(self._caller, self._caller_events)
         for _, events in poller.poll(0):
-            self._see_caller(events)
+            self._check_caller_events(events)
 
-    def until_readable(self, upstream: socket.socket) -> None:
+    def wait_until_readable(self, upstream: socket.socket) -> None:
         """Return when ``upstream`` has bytes or has closed.
 
         Raises `CallerLeft`, `TimeLimitReached` at the deadline, and
@@ -53,15 +53,15 @@
             if now >= silent_at:
                 raise UpstreamSilent(f"no byte for {self.silence_seconds} s")
             wait = min(self.deadline, silent_at) - now
-            ready = dict(poller.poll(wait * _MILLISECONDS + 1))
+            ready = dict(poller.poll(wait * _MILLISECONDS_PER_SECOND + 1))
             if (events := ready.get(self._caller.fileno())) is not None:
-                self._see_caller(events)
+                self._check_caller_events(events)
                 poller.modify(self._caller, self._caller_events)
             if upstream.fileno() in ready:
                 return
 
-    def _see_caller(self, events: int) -> None:
-        if events & _GONE:
+    def _check_caller_events(self, events: int) -> None:
+        if events & _CLOSED_EVENTS:
             raise CallerLeft("the caller closed its connection")
         if not self._caller.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
             raise CallerLeft("the caller closed its connection")
