--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -22,8 +22,8 @@
 from redwingscale_daemon._internal.forwarding.throttle_wait import ThrottleWait
 from redwingscale_daemon._internal.models.run_state import RunState
 
-FIRST_SERVER_ERROR = 500
-FIRST_ERROR = 400
+FIRST_SERVER_ERROR_STATUS = 500
+FIRST_ERROR_STATUS = 400
 # A full upstream has places again within a few requests' time.
 NO_UPSTREAM_RETRY_SECONDS = 0.2
 PLAIN_PRIORITY = 5
@@ -41,11 +41,11 @@
     def run(self, call: Call) -> None:
         """Answer ``call``; raise `Refusal`, `CallerLeft`."""
         while True:
-            candidate = self._candidate(call)
+            candidate = self._choose_upstream(call)
             if candidate is None:
                 if _deliver_failure(call):
                     return
-                raise _nobody(call.attempts)
+                raise _no_upstream_refusal(call.attempts)
             if not self._parts.gate.draw(candidate.upstream.id):
                 # Another request has used the permit, or was rejected.
                 continue
@@ -59,7 +59,7 @@
             finally:
                 ticket.close()
 
-    def _candidate(self, call: Call) -> Candidate | None:
+    def _choose_upstream(self, call: Call) -> Candidate | None:
         """Return the best upstream, waiting for one that takes no request yet; None without any."""
 
         def choose() -> Candidate | None:
@@ -86,26 +86,26 @@
                 upstream, call.request, call.terms.request_id, headers, call.watch
             )
         except TimeLimitReached:
-            raise _too_late() from None
+            raise _time_limit_refusal() from None
         match outcome:
             case Answering():
-                return self._answer(call, outcome)
+                return self._relay_response(call, outcome)
             case NotRun():
                 note_failure(self._parts, call, outcome)
                 if not call.attempts.take_retry(outcome):
                     if _deliver_failure(call):
                         return True
-                    raise _nobody(call.attempts)
+                    raise _no_upstream_refusal(call.attempts)
                 return False
             case Lost():
                 note_failure(self._parts, call, outcome)
                 if not call.attempts.take_retry(outcome):
                     if _deliver_failure(call):
                         return True
-                    raise _lost(outcome.reason)
+                    raise _failure_refusal(outcome.reason)
                 return False
 
-    def _answer(self, call: Call, answering: Answering) -> bool:
+    def _relay_response(self, call: Call, answering: Answering) -> bool:
         response, upstream = answering.response, answering.upstream
         try:
             body = read_response_body(response)
@@ -114,21 +114,21 @@
             lost = Lost(upstream, f"answer broke off: {error!r}")
             note_failure(self._parts, call, lost)
             if not call.attempts.take_retry(lost):
-                raise _lost(lost.reason) from error
+                raise _failure_refusal(lost.reason) from error
             return False
         except TimeLimitReached:
             answering.connection.discard()
-            raise _too_late() from None
+            raise _time_limit_refusal() from None
         except CallerLeft:
             answering.connection.discard()
             raise
         self._parts.sender.release(answering)
-        failed = response.status >= FIRST_SERVER_ERROR
+        failed = response.status >= FIRST_SERVER_ERROR_STATUS
         if response.status in FAILURE_STATUSES:
             self._parts.health.failed(upstream.id)
         elif not failed:
-            self._parts.health.note_answer(upstream.id)
-        unsigned = response.status < FIRST_ERROR and not self._parts.dialect.is_signed(response)
+            self._parts.health.answered(upstream.id)
+        unsigned = response.status < FIRST_ERROR_STATUS and not self._parts.dialect.is_signed(response)
         if (failed or unsigned) and call.attempts.take_retry_after_error(upstream.id, f"status {response.status}"):
             log_event(
                 "retried",
@@ -142,7 +142,7 @@
                 call.attempts.failure = FailedResponse(response.status, headers, body)
             return False
         if unsigned:
-            raise _lost("the answer bears no signature")
+            raise _failure_refusal("the answer bears no signature")
         headers = self._parts.dialect.response_headers(response)
         call.reply.whole(response.status, headers, body)
         return True
@@ -160,9 +160,9 @@
     return True
 
 
-def _nobody(attempts: Attempts) -> Refusal:
+def _no_upstream_refusal(attempts: Attempts) -> Refusal:
     if not attempts.certainly_not_run:
-        return _lost("no other upstream is left")
+        return _failure_refusal("no other upstream is left")
     return Refusal(
         503,
         "no_upstream",
@@ -171,9 +171,9 @@
     )
 
 
-def _lost(reason: str) -> Refusal:
+def _failure_refusal(reason: str) -> Refusal:
     return Refusal(502, "upstream_failed", reason, run=RunState.UNKNOWN)
 
 
-def _too_late() -> Refusal:
+def _time_limit_refusal() -> Refusal:
     return Refusal(504, "time_limit", "no answer within the time limit", run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -94,7 +94,7 @@
         try:
             workspace_of(table, route, terms.key_digest)
         except Refusal as refusal:
-            self._ended(head, terms, None, refusal)
+            self._log_end(head, terms, None, refusal)
             reply.leave_body_unread()
             self._refuse(refusal, reply)
             return True
@@ -113,16 +113,16 @@
         except Refusal as refusal:
             if call is not None and refusal.run is RunState.NOT_RUN:
                 call.permit.give_back()
-            self._ended(request, terms, call, refusal)
+            self._log_end(request, terms, call, refusal)
             self._refuse(refusal, reply)
         except CallerLeft:
             if call is not None and not call.attempts.count:
                 call.permit.give_back()
             self._metrics.ended(request, "caller_left")
-            log_event("caller_left", request=terms.request_id, route=_name(call))
+            log_event("caller_left", request=terms.request_id, route=_route_name(call))
             raise
         else:
-            self._ended(request, terms, call, None, reply.status)
+            self._log_end(request, terms, call, None, reply.status)
 
     def _route(self, request: IngressRequest, terms: Terms, reply: Reply) -> Call:
         table = self._routes.get()
@@ -158,7 +158,7 @@
             service=service,
             configuration=table.version,
             unit=terms.prompt.unit if terms.prompt else "-",
-            tokens=_tokens(terms),
+            tokens=_format_tokens(terms),
         )
         return Call(
             request=request,
@@ -195,7 +195,7 @@
             headers.append(("WWW-Authenticate", "Bearer"))
         reply.whole(refusal.status, headers, refusal.document())
 
-    def _ended(
+    def _log_end(
         self,
         request: IngressRequest,
         terms: Terms,
@@ -208,15 +208,15 @@
         log_event(
             "request_ended",
             request=terms.request_id,
-            route=_name(call),
+            route=_route_name(call),
             status=refusal.status if refusal else status,
             outcome=refusal.code if refusal else "answered",
             run=refusal.run if refusal else "run",
             detail=refusal.detail if refusal else "",
             sendings=attempts.count if attempts else "-",
             history=";".join(attempts.history) if attempts else "",
-            first_event=_rounded(attempts.first_event_seconds if attempts else None),
-            longest_gap=_rounded(attempts.longest_gap_seconds if attempts else None),
+            first_event=_format_seconds(attempts.first_event_seconds if attempts else None),
+            longest_gap=_format_seconds(attempts.longest_gap_seconds if attempts else None),
             seconds=round(seconds, 4),
         )
 
@@ -234,14 +234,14 @@
     return request.arrived_at + limit
 
 
-def _rounded(seconds: float | None) -> str:
+def _format_seconds(seconds: float | None) -> str:
     return "-" if seconds is None else f"{seconds:.4f}"
 
 
-def _tokens(terms: Terms) -> str:
+def _format_tokens(terms: Terms) -> str:
     prompt = terms.prompt
     return f"{prompt.tokens_in}+{prompt.most_tokens_out}" if prompt else "-"
 
 
-def _name(call: Call | None) -> str:
+def _route_name(call: Call | None) -> str:
     return call.route.name if call else "-"
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -21,10 +21,10 @@
 from redwingscale_daemon._internal.forwarding.response_body import read_response_body
 from redwingscale_daemon._internal.models.run_state import RunState
 
-FIRST_ERROR = 400
-FIRST_SERVER_ERROR = 500
+FIRST_ERROR_STATUS = 400
+FIRST_SERVER_ERROR_STATUS = 500
 # Priorities that an upstream tells apart, 0 the most urgent.
-PRIORITIES = 10
+PRIORITY_LEVELS = 10
 LATE_TARGET_SECONDS = 2.0
 # An upstream that sends nothing for this long in mid-stream has lost the run: a
 # step takes some 10 ms, and a preempted run is back within a second.
@@ -42,7 +42,7 @@
         self.last_event = last_event
         self.events = 0
 
-    def wants(self, event: Event) -> bool:
+    def is_next(self, event: Event) -> bool:
         """Return whether ``event`` is the next one; False for one that was delivered.
 
         Raises HTTPException at a gap: the upstream's stream isn't the one asked for.
@@ -55,7 +55,7 @@
             return False
         raise HTTPException(f"event {event.number} follows {self.last_event}")
 
-    def delivered(self, event: Event) -> None:
+    def note_delivered(self, event: Event) -> None:
         """Note that the caller has ``event``."""
         self.last_event = event.number
         self.events += 1
@@ -112,25 +112,25 @@
             _priority(call),
             progress.last_event,
         )
-        call.watch.silence_seconds = _first_silence(call)
+        call.watch.silence_seconds = _first_event_silence_seconds(call)
         try:
             outcome = self._parts.sender.send(
                 upstream, call.request, call.terms.request_id, headers, call.watch
             )
         except TimeLimitReached:
-            raise _too_late() from None
+            raise _time_limit_refusal() from None
         match outcome:
             case Answering():
-                return self._answer(call, outcome, candidate, progress, ticket)
+                return self._relay_response(call, outcome, candidate, progress, ticket)
             case Lost():
                 if not progress.events:
-                    waited = call.attempts.seconds_since_send() * MILLISECONDS_PER_SECOND
-                    self._parts.latency_factors.observed(upstream.id, candidate.first_event_ms, waited)
-                return self._try_another(call, outcome)
+                    waited_ms = call.attempts.seconds_since_send() * MILLISECONDS_PER_SECOND
+                    self._parts.latency_factors.observed(upstream.id, candidate.first_event_ms, waited_ms)
+                return self._prepare_retry(call, outcome)
             case NotRun():
-                return self._try_another(call, outcome)
+                return self._prepare_retry(call, outcome)
 
-    def _answer(
+    def _relay_response(
         self,
         call: Call,
         answering: Answering,
@@ -140,18 +140,18 @@
     ) -> bool:
         response = answering.response
         try:
-            if response.status >= FIRST_ERROR:
-                return self._pass_failure(call, answering)
+            if response.status >= FIRST_ERROR_STATUS:
+                return self._relay_failure(call, answering)
             if not self._parts.dialect.is_signed(response):
                 raise HTTPException("the answer bears no signature")
-            self._pass_events(call, answering, candidate, progress, ticket)
+            self._relay_events(call, answering, candidate, progress, ticket)
         except (HTTPException, OSError, UpstreamSilent, ValueError) as error:
             answering.connection.discard()
             lost = Lost(answering.upstream, f"event {progress.last_event}: {error!r}")
-            return self._try_another(call, lost)
+            return self._prepare_retry(call, lost)
         except TimeLimitReached:
             answering.connection.discard()
-            raise _too_late() from None
+            raise _time_limit_refusal() from None
         except (CallerLeft, Refusal):
             answering.connection.discard()
             raise
@@ -159,7 +159,7 @@
         self._parts.health.answered(answering.upstream.id)
         return True
 
-    def _pass_events(
+    def _relay_events(
         self,
         call: Call,
         answering: Answering,
@@ -173,32 +173,32 @@
             if not begun:
                 begun = True
                 ticket.prompt_read()
-                real = call.attempts.note_first_event() * MILLISECONDS_PER_SECOND
-                self._parts.latency_factors.observed(answering.upstream.id, candidate.first_event_ms, real)
-                if real / MILLISECONDS_PER_SECOND > call.route.latency_target_seconds:
-                    self._note_late(call)
+                real_ms = call.attempts.note_first_event() * MILLISECONDS_PER_SECOND
+                self._parts.latency_factors.observed(answering.upstream.id, candidate.first_event_ms, real_ms)
+                if real_ms / MILLISECONDS_PER_SECOND > call.route.latency_target_seconds:
+                    self._note_late_first_event(call)
             call.watch.silence_seconds = STREAM_SILENCE_SECONDS if call.route.resumable else None
-            if not progress.wants(event):
+            if not progress.is_next(event):
                 continue
             if not call.reply.started:
                 call.reply.begin(answering.response.status, headers)
             call.reply.write(event.data)
-            progress.delivered(event)
+            progress.note_delivered(event)
             call.attempts.note_delivery()
         if not call.reply.started:
             call.reply.begin(answering.response.status, headers)
 
-    def _note_late(self, call: Call) -> None:
+    def _note_late_first_event(self, call: Call) -> None:
         if call.terms.prompt is not None:
             self._wait.demand.note_overload(call.service, call.terms.prompt.unit)
 
-    def _pass_failure(self, call: Call, answering: Answering) -> bool:
+    def _relay_failure(self, call: Call, answering: Answering) -> bool:
         body = read_response_body(answering.response)
         self._parts.sender.release(answering)
         status = answering.response.status
         if status in FAILURE_STATUSES:
             self._parts.health.failed(answering.upstream.id)
-        failed = status >= FIRST_SERVER_ERROR
+        failed = status >= FIRST_SERVER_ERROR_STATUS
         if failed and call.attempts.take_retry_after_error(answering.upstream.id, f"status {status}"):
             return False
         if call.reply.started:
@@ -206,7 +206,7 @@
         call.reply.whole(status, self._parts.dialect.response_headers(answering.response), body)
         return True
 
-    def _try_another(self, call: Call, outcome: NotRun | Lost) -> bool:
+    def _prepare_retry(self, call: Call, outcome: NotRun | Lost) -> bool:
         """Return False to go on at another upstream; raise when there may be none."""
         note_failure(self._parts, call, outcome)
         if call.attempts.take_retry(outcome):
@@ -219,14 +219,14 @@
 
 def _priority(call: Call) -> int:
     late = call.route.latency_target_seconds > LATE_TARGET_SECONDS
-    return call.urgency.level(PRIORITIES, late=late)
+    return call.urgency.level(PRIORITY_LEVELS, late=late)
 
 
-def _first_silence(call: Call) -> float | None:
+def _first_event_silence_seconds(call: Call) -> float | None:
     if not call.route.resumable:
         return None
     return max(FIRST_EVENT_SILENCE_SECONDS, call.route.latency_target_seconds * 2)
 
 
-def _too_late() -> Refusal:
+def _time_limit_refusal() -> Refusal:
     return Refusal(504, "time_limit", "no answer within the time limit", run=RunState.UNKNOWN)
