--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempt_failure.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempt_failure.py
@@ -1,4 +1,4 @@
-"""What a sending without an answer says about its upstream."""
+"""Records failed attempts in the log and in the health of upstreams."""
 
 from redwingscale_common.utils.logs import log_event
 
@@ -6,13 +6,13 @@
 from redwingscale_daemon._internal.forwarding.outcome import Lost, NotRun
 from redwingscale_daemon._internal.forwarding.parts import RelayParts
 
-# Answers by which an upstream says that it has failed: one of 503 was full, one of 504
-# had no time left.
+# Statuses that count against the health of an upstream. 503 does not: the upstream was
+# full; nor does 504: the request had no time left.
 FAILURE_STATUSES = frozenset({500, 502})
 
 
 def note_failure(parts: RelayParts, call: Call, outcome: NotRun | Lost) -> None:
-    """Log the failed sending, and let the health of its upstream count it."""
+    """Log the failed attempt and count it against the health of its upstream."""
     match outcome:
         case Lost():
             parts.health.note_failure(outcome.upstream.id)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
@@ -1,4 +1,4 @@
-"""The sendings of one request, and whether there may be one more."""
+"""The attempts to send one request, and whether another one is allowed."""
 
 import time
 from typing import NamedTuple
@@ -13,12 +13,12 @@
 from redwingscale_daemon._internal.ingress.ingress_request import Headers
 from redwingscale_daemon._internal.routes.route import Route
 
-# Sendings that no upstream has run cost little, but each takes time from the deadline.
+# An attempt that no upstream has run costs little, but uses up time until the deadline.
 MAX_ATTEMPTS = 4
 
 
 class FailedResponse(NamedTuple):
-    """An upstream's own answer that another sending was to better."""
+    """An upstream's failure, returned to the caller if no later attempt succeeds."""
 
     status: int
     headers: Headers
@@ -26,7 +26,7 @@
 
 
 class Attempts:
-    """Counts upstreams that may have run the request, and all that were tried."""
+    """Tracks the upstreams that were tried and how many may have run the request."""
 
     def __init__(self, route: Route, service: str, budget: RepeatBudget) -> None:
         self._route = route
@@ -37,7 +37,7 @@
         self.possible_runs = 0
         self.history: list[str] = []
         self.failure: FailedResponse | None = None
-        # When the caller got its last event, monotonic; None before the first one.
+        # Monotonic time of the last event written to the caller, None before the first one.
         self.last_event_at: float | None = None
         self.longest_gap_seconds = 0.0
         self._sent_at = 0.0
@@ -46,7 +46,7 @@
     def begin(
         self, request: str, chosen: Candidate, load: Load, backpressure: BackpressureState
     ) -> None:
-        """Note a sending to ``chosen``, with what decided it and what its answers have said."""
+        """Count and log an attempt at ``chosen``, with its load and backpressure."""
         upstream_id = chosen.upstream.id
         log_event(
             "sent",
@@ -68,14 +68,15 @@
         self.tried.add(upstream_id)
 
     def take_retry(self, outcome: NotRun | Lost) -> bool:
-        """Return whether the request may be sent once more.
+        """Record a failed attempt; return whether the request may be sent again.
 
-        A request that may have run is sent again only where the route allows it,
-        to as many upstreams as the route allows.
+        A request that may have run is sent again only if the route allows it, and to
+        no more upstreams than the route allows. A retry is counted against the budget
+        unless the upstream was not reached or another process has taken its address.
         """
         self.history.append(f"{outcome.upstream.id}:{outcome.reason}")
         if isinstance(outcome, NotRun) and outcome.retry_later:
-            # It is chosen only when its time has come.
+            # The chooser leaves the upstream out until its retry time has passed.
             self.tried.discard(outcome.upstream.id)
         if self.count >= MAX_ATTEMPTS:
             return False
@@ -90,31 +91,31 @@
                 return self._take_repeat()
 
     def take_retry_after_error(self, upstream_id: str, reason: str) -> bool:
-        """Note an answer that is a failure; return whether to try another upstream."""
+        """Record a failure response; return whether to try another upstream."""
         self.history.append(f"{upstream_id}:{reason}")
         return self.count < MAX_ATTEMPTS and self._take_repeat()
 
     def note_first_event(self) -> float:
-        """Note the first event of the newest sending; return the seconds that it took."""
+        """Record the first event of the latest attempt; return the seconds since it was sent."""
         seconds = self.seconds_since_send()
         if self.first_event_seconds is None:
             self.first_event_seconds = seconds
         return seconds
 
     def note_delivery(self) -> None:
-        """Note an event that the caller has got, and the pause before it."""
+        """Record an event written to the caller, and the gap since the previous one."""
         now = time.monotonic()
         if self.last_event_at is not None:
             self.longest_gap_seconds = max(self.longest_gap_seconds, now - self.last_event_at)
         self.last_event_at = now
 
     def seconds_since_send(self) -> float:
-        """Return the seconds since the newest sending."""
+        """Return the seconds since the latest attempt was sent."""
         return time.monotonic() - self._sent_at
 
     @property
     def certainly_not_run(self) -> bool:
-        """Whether no upstream can have run the request, nor will."""
+        """Whether no upstream has run the request or will run it."""
         return self.possible_runs == 0
 
     def _take_repeat(self) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/call.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/call.py
@@ -1,4 +1,4 @@
-"""One request on its way, with everything that was decided before it is sent."""
+"""One request in flight, with everything that is decided before it is sent."""
 
 from typing import NamedTuple
 
@@ -13,9 +13,10 @@
 
 
 class Call(NamedTuple):
-    """A caller's request, its route and service, and where the answer goes.
+    """A caller's request, its route and service, and the reply to write to.
 
-    ``urgency`` 0 is the most urgent; a workspace's rank goes before its route's.
+    ``headers`` are those sent to every upstream. In ``urgency``, 0 is the most urgent
+    rank, and a workspace's rank takes precedence over its route's.
     """
 
     request: IngressRequest
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/connection_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/connection_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to upstreams, kept for the next request."""
+"""Idle connections to upstreams, reused for later requests."""
 
 import threading
 import time
@@ -7,16 +7,20 @@
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.forwarding.upstream_connection import UpstreamConnection
 
-# Upstreams that name no time close idle connections after some seconds; a request
-# that meets the close is lost without a word whether it has run.
+# Upstreams that announce no idle timeout close idle connections after some seconds. A
+# request sent while the connection closes is lost, and may or may not have run.
 DEFAULT_IDLE_SECONDS = 2.0
-# The upstream counts from its last byte, this side from its arrival.
+# The upstream counts the idle time from when it sent the last byte, this side from
+# when the byte arrived.
 IDLE_MARGIN_SECONDS = 0.7
 MAX_IDLE_PER_UPSTREAM = 32
 
 
 class ConnectionPool:
-    """Connections by upstream id; a restarted upstream has a new id and new ones."""
+    """Idle connections by upstream id.
+
+    A restarted upstream has a new id, so its old connections are never reused.
+    """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -24,7 +28,7 @@
         self.opened = 0
 
     def take_idle(self, upstream: Upstream) -> UpstreamConnection | None:
-        """Return a kept connection that is open and silent, None without one."""
+        """Return an idle connection that is open and has no unread bytes, None without one."""
         while (connection := self._pop(upstream.id)) is not None:
             fresh = time.monotonic() < connection.expires_at
             if fresh and connection.is_reusable():
@@ -33,7 +37,7 @@
         return None
 
     def open(self, upstream: Upstream) -> UpstreamConnection:
-        """Return a new connection; raise the library's errors."""
+        """Return a new connection; raises the errors of `UpstreamConnection.connect`."""
         connection = UpstreamConnection(upstream.host, upstream.port)
         connection.connect()
         with self._lock:
@@ -43,7 +47,10 @@
     def put_back(
         self, upstream: Upstream, connection: UpstreamConnection, idle_seconds: float | None
     ) -> None:
-        """Keep ``connection`` after a whole answer, if it can serve another request."""
+        """Keep ``connection`` after a complete response, if it can be reused.
+
+        ``idle_seconds`` is the upstream's idle timeout, None if it announced none.
+        """
         allowed = DEFAULT_IDLE_SECONDS if idle_seconds is None else idle_seconds
         connection.expires_at = time.monotonic() + allowed - IDLE_MARGIN_SECONDS
         with self._lock:
@@ -55,7 +62,7 @@
             connection.discard()
 
     def forget(self, upstream_ids: set[str]) -> None:
-        """Close what is kept for upstreams that are gone."""
+        """Close the idle connections to upstreams that are no longer listed."""
         with self._lock:
             gone = [self._idle_by_upstream.pop(key, []) for key in upstream_ids]
         for connections in gone:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/events.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Events of a stream, one by one and byte for byte."""
+"""Splits a response stream into server-sent events, byte for byte."""
 
 from collections.abc import Iterator
 from http.client import HTTPException, HTTPResponse
@@ -8,33 +8,33 @@
 
 _READ_BYTES = 65536
 _ID_FIELD = b"id:"
-# An event has some hundred bytes; more without an end is no event.
+# Events have some hundred bytes; a longer run of bytes without an end is malformed.
 MAX_EVENT_BYTES = 1 << 20
 
 
 class Event(NamedTuple):
-    """``number`` is the event's id, None where it has none; ``data`` is all of it."""
+    """``number`` is the event's id, None without one; ``data`` is the whole event."""
 
     number: int | None
     data: bytes
 
 
 def read_events(response: HTTPResponse) -> Iterator[Event]:
-    """Yield whole events as they come.
+    """Yield complete events as they arrive.
 
-    What follows the last whole event is never passed on: an upstream may stop in
-    the middle of one. Raises HTTPException or OSError where the answer breaks
-    off, and ends normally only at its own end.
+    Bytes after the last complete event are dropped, since an upstream may stop in
+    the middle of an event. Raises `HTTPException` or `OSError` if the response breaks
+    off; the iterator ends normally only at the end of the response.
     """
     pending = bytearray()
     while data := response.read1(_READ_BYTES):
         pending += data
         yield from _whole_events(pending)
         if len(pending) > MAX_EVENT_BYTES:
-            raise HTTPException("an event has no end")
+            raise HTTPException("event exceeds the size limit")
     finish_response(response)
     if pending:
-        raise HTTPException("the answer ended inside an event")
+        raise HTTPException("response ended inside an event")
 
 
 def _whole_events(pending: bytearray) -> Iterator[Event]:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/outcome.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/outcome.py
@@ -1,4 +1,4 @@
-"""How sending a request to one upstream can end."""
+"""The possible outcomes of sending a request to one upstream."""
 
 from http.client import HTTPResponse
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class Answering(NamedTuple):
-    """The head of the upstream's own answer has come; its body has not been read."""
+    """The head of the upstream's response has arrived; its body is unread."""
 
     upstream: Upstream
     connection: UpstreamConnection
@@ -18,22 +18,22 @@
 class NotRun(NamedTuple):
     """The upstream has not run the request and never will.
 
-    ``wrong_place`` tells that it does not hold what the request asks for, or is
-    another process than the one meant, which then is ``gone``; else it is full or
-    cannot be reached. ``retry_later`` tells that it has named the time from which it
-    takes requests again.
+    ``misdirected``: the unit is not resident there, or another process has the
+    upstream's address, in which case ``gone`` is set as well. Otherwise the upstream is
+    full, or cannot be reached (``reached`` is False). ``retry_later``: the upstream
+    named a time from which it accepts requests again.
     """
 
     upstream: Upstream
     reason: str
-    wrong_place: bool
+    misdirected: bool
     reached: bool
     gone: bool = False
     retry_later: bool = False
 
 
 class Lost(NamedTuple):
-    """No sound answer: the request may have run."""
+    """No valid response arrived: the request may have run."""
 
     upstream: Upstream
     reason: str
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
@@ -21,14 +21,15 @@
 from redwingscale_daemon._internal.forwarding.watch import Watch
 from redwingscale_daemon._internal.ingress.ingress_request import Headers, IngressRequest
 
-# Refusals and answers to others are small; what is larger isn't worth reading.
+# Refusals and responses to other requests are small. For a larger one, closing the
+# connection costs less than reading it.
 _MAX_DISCARDED_BYTES = 65536
 
 Outcome = Answering | NotRun | Lost
 
 
 class Sender:
-    """Uses a kept connection or a new one; never sends anything twice."""
+    """Sends on an idle connection or a new one, and never sends a request twice."""
 
     def __init__(
         self, pool: ConnectionPool, dialect: Dialect, backpressure: BackpressureTracker
@@ -45,15 +46,16 @@
         headers: Headers,
         watch: Watch,
     ) -> Outcome:
-        """Send and await the answer's head; raise `CallerLeft` or `TimeLimitReached`.
+        """Send and wait for the head of the response.
 
-        However it ends, the connection is closed unless the caller of this
-        method gets it: an upstream drops what it runs for a closed connection.
+        Raises `CallerLeft` or `TimeLimitReached`. The connection is closed unless it
+        is returned in an `Answering` or can be reused after a refusal: an upstream
+        aborts what it runs for a closed connection.
         """
         try:
             connection = self._pool.take_idle(upstream) or self._pool.open(upstream)
         except (HTTPError, OSError) as error:
-            return NotRun(upstream, f"no connection: {error!r}", wrong_place=False, reached=False)
+            return NotRun(upstream, f"no connection: {error!r}", misdirected=False, reached=False)
         sent_at = time.monotonic()
         try:
             connection.send_request(request.method, request.target, headers, request.body)
@@ -66,7 +68,7 @@
             return Lost(upstream, repr(error))
         if response is None:
             connection.discard()
-            return Lost(upstream, "answers of other requests")
+            return Lost(upstream, "only responses to other requests")
         backpressure = self._note_backpressure(upstream, response, sent_at)
         if self._dialect.was_not_run(response):
             refused = self._not_run(upstream, connection, response)
@@ -74,7 +76,7 @@
         return Answering(upstream, connection, response)
 
     def release(self, answering: Answering) -> None:
-        """Give the connection of a whole answer back."""
+        """Return the connection of a fully read response to the pool, or close it."""
         idle = self._dialect.idle_seconds(answering.response)
         if idle == 0.0 or not answering.connection.is_reusable():
             answering.connection.discard()
@@ -88,10 +90,11 @@
         request_id: str,
         watch: Watch,
     ) -> HTTPResponse | None:
-        """Return the answer that bears ``request_id``, None when there is none.
+        """Return the response with ``request_id``, None without one.
 
-        An upstream may send a second answer to an earlier request just where
-        the answer to this one is due; its id tells. The own one follows it.
+        On a reused connection, an upstream may send a second response to an earlier
+        request first. It carries that request's id, and the response to this request
+        follows it.
         """
         response = connection.receive_response(watch)
         if self._dialect.matches_request(response, request_id):
@@ -103,11 +106,13 @@
         response = connection.receive_extra_response(request.method)
         return response if self._dialect.matches_request(response, request_id) else None
 
-    def _note_backpressure(self, upstream: Upstream, response: HTTPResponse, sent_at: float) -> Backpressure:
+    def _note_backpressure(
+        self, upstream: Upstream, response: HTTPResponse, sent_at: float
+    ) -> Backpressure:
         if self._dialect.is_from_another(response, upstream.platform_name):
             return Backpressure()
         backpressure = self._dialect.read_backpressure(response.status, response.headers)
-        # What answers without a signature may be garbled.
+        # An unsigned response may be corrupt: that it names no rate limit does not end one.
         signed_sent_at = sent_at if self._dialect.is_signed(response) else None
         self._backpressure.take(upstream.id, backpressure, "answer", signed_sent_at)
         return backpressure
@@ -117,7 +122,7 @@
     ) -> NotRun:
         reason = f"status {response.status}"
         answering = Answering(upstream, connection, response)
-        # A caller that leaves meanwhile is seen at the next wait.
+        # A caller that disconnects during this read is noticed at the next wait.
         with contextlib.suppress(
             HTTPException, OSError, UpstreamSilent, TimeLimitReached, CallerLeft
         ):
@@ -128,4 +133,4 @@
             connection.discard()
         misdirected = self._dialect.is_misdirected(response)
         gone = self._dialect.is_from_another(response, upstream.platform_name)
-        return NotRun(upstream, reason, wrong_place=misdirected, reached=True, gone=gone)
+        return NotRun(upstream, reason, misdirected=misdirected, reached=True, gone=gone)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/upstream_connection.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream."""
+"""One HTTP connection to an upstream."""
 
 import contextlib
 import io
@@ -14,20 +14,20 @@
 from redwingscale_daemon._internal.forwarding.watch import Watch
 from redwingscale_daemon._internal.utils.sockets import RESET_ON_CLOSE
 
-# A new connection takes about a millisecond, four across failure domains. One that
-# takes longer has met a dead host or a lost packet, and another upstream is tried.
+# Connecting takes about one millisecond, four across failure domains. If it takes this
+# long, the host is down or a packet was lost, and another upstream is tried.
 CONNECT_SECONDS = 0.35
-# A host without power answers nothing: what is in flight is given up after this.
+# A host that lost power acknowledges nothing: data in flight is abandoned after this time.
 USER_TIMEOUT_MS = 4000
 _READ_BYTES = 65536
-# Methods whose requests need no length when they have no body.
+# Methods whose requests need no Content-Length if they have no body.
 _BODILESS = frozenset({"GET", "HEAD", "DELETE", "OPTIONS"})
 
 
 @contextmanager
 def _nonblocking(sock: socket.socket) -> Iterator[None]:
-    # A flag for one call is not enough: with a timeout set, the language waits
-    # for the socket before it makes the call.
+    # MSG_DONTWAIT alone is not enough: on a socket with a timeout, Python polls before
+    # it calls recv().
     timeout = sock.gettimeout()
     sock.settimeout(0.0)
     try:
@@ -37,7 +37,10 @@
 
 
 class _WatchedReader(io.RawIOBase):
-    """Reads a socket; each read first waits under the connection's `Watch`."""
+    """Reads a socket; each read first waits under the `Watch` of the request.
+
+    Without a watch, reads do not block.
+    """
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
@@ -61,17 +64,17 @@
 
 
 class _PersistentReader(io.BufferedReader):
-    """Lives as long as its connection, so that bytes beyond an answer are seen."""
+    """Stays open as long as its connection, so that bytes after a response are not lost."""
 
     def close(self) -> None:
-        """Do nothing: the response closes its file at its end."""
+        """Do nothing: `HTTPResponse` closes its file at the end of the response."""
 
     def close_now(self) -> None:
         super().close()
 
 
 class _WatchedSocket:
-    """What the HTTP library needs of a socket."""
+    """Wraps a socket for `http.client`, so that reads go through a `_WatchedReader`."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
@@ -94,10 +97,10 @@
         return False
 
     def settimeout(self, value: float | None) -> None:
-        """Ignore the library's timeout: reads wait under the watch."""
+        """Ignore the timeout of `http.client`: reads wait under the watch."""
 
     def close(self) -> None:
-        """Do nothing: the library closes early where an answer ends with the connection."""
+        """Do nothing: `http.client` closes too early if a response ends with the connection."""
 
     def close_now(self) -> None:
         self.reader.close_now()
@@ -105,18 +108,18 @@
 
 
 class UpstreamConnection(HTTPConnection):
-    """Sends requests with their raw target; every wait is under a `Watch`."""
+    """Sends requests with their raw target; every read waits under a `Watch`."""
 
     def __init__(self, host: str, port: int) -> None:
         super().__init__(host, port, timeout=CONNECT_SECONDS)
         self._watched: _WatchedSocket | None = None
         self.response_count = 0
         self.idle_since = 0.0
-        # When the upstream may close this connection; it tells so in its answers.
+        # Monotonic time from which the upstream may close this connection while it is idle.
         self.expires_at = float("inf")
 
     def connect(self) -> None:
-        """Connect; raises the library's errors when nothing was sent."""
+        """Connect; raises `HTTPError` or `OSError`, in which case nothing was sent."""
         super().connect()
         assert isinstance(self.sock, socket.socket)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -128,7 +131,7 @@
     def send_request(
         self, method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes
     ) -> None:
-        """Send one whole request on the open connection; raise OSError."""
+        """Send one whole request on the open connection; raises `OSError`."""
         self.putrequest(method, target, skip_host=True, skip_accept_encoding=True)
         for name, value in headers:
             self.putheader(name, value)
@@ -137,27 +140,27 @@
         self.endheaders(body or None)
 
     def receive_response(self, watch: Watch) -> HTTPResponse:
-        """Return the head of the answer; raise as `Watch` and the library do."""
+        """Return the response after reading its head; raises as `Watch` and `http.client` do."""
         assert self._watched is not None
         self._watched.raw.watch = watch
-        # The library's own response: read in pieces as they come, and never
-        # decoded or followed up.
+        # Bypasses urllib3's response: the body is read in pieces as they arrive, and is
+        # neither decoded nor redirected.
         response = super(HTTPConnection, self).getresponse()
         self.response_count += 1
         return response
 
     def receive_extra_response(self, method: str) -> HTTPResponse:
-        """Return one more answer than requests were sent; the first one was not ours."""
+        """Return the response after one that belonged to an earlier request."""
         assert self._watched is not None
         response = HTTPResponse(self._watched, method=method)  # type: ignore[arg-type]
         response.begin()
         return response
 
     def is_reusable(self) -> bool:
-        """Return whether the connection is open and nothing has come unasked.
+        """Return whether the connection is open and has no unread bytes.
 
-        An upstream may send bytes after a whole answer, or a second one late:
-        they would be taken for the answer to the next request.
+        An upstream may send bytes after a complete response, or a late duplicate of it.
+        They would be taken for the response to the next request.
         """
         if self._watched is None:
             return False
@@ -170,14 +173,15 @@
             return False
 
     def rest(self) -> None:
-        """Note that the connection waits for its next request from now on."""
+        """Record that the connection is idle from now on."""
         self.idle_since = time.monotonic()
 
     def discard(self) -> None:
-        """Reset it; an upstream drops what it runs for it.
+        """Reset the connection; the upstream aborts what it runs for it.
 
-        Ended in place of reset, a request that a cut holds up would reach the
-        upstream when the cut is over, long after its caller has left.
+        After an orderly close, a request that is delayed by a network partition would
+        still reach the upstream once the partition ends, long after its caller has
+        disconnected.
         """
         if self.sock is not None:
             with contextlib.suppress(OSError):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/watch.py
@@ -1,4 +1,4 @@
-"""Waits for an upstream's bytes while looking after the caller and the clock."""
+"""Waits for bytes of an upstream while checking the caller and the deadline."""
 
 import select
 import socket
@@ -14,9 +14,10 @@
 class Watch:
     """Bounds every wait of one request.
 
-    A thread that only reads the upstream would not see that the caller has left:
-    the upstream would go on working for nobody. So each wait polls both sockets.
-    ``deadline`` is monotonic; ``silence_seconds`` is the longest wait for bytes.
+    Each wait polls both sockets: a thread that only reads the upstream would not notice
+    that the caller has disconnected, and the upstream would go on working for nobody.
+    ``deadline`` is monotonic; ``silence_seconds`` is the longest wait for a byte, None
+    for no bound.
     """
 
     def __init__(self, caller: socket.socket, deadline: float) -> None:
@@ -26,7 +27,7 @@
         self.silence_seconds: float | None = None
 
     def remaining(self) -> float:
-        """Return the seconds that are left, 0 when none are."""
+        """Return the seconds until the deadline, at least 0."""
         return max(0.0, self.deadline - time.monotonic())
 
     def check_caller(self) -> None:
@@ -37,7 +38,7 @@
             self._check_caller_events(events)
 
     def wait_until_readable(self, upstream: socket.socket) -> None:
-        """Return when ``upstream`` has bytes or has closed.
+        """Block until ``upstream`` has bytes or is closed.
 
         Raises `CallerLeft`, `TimeLimitReached` at the deadline, and
         `UpstreamSilent` after ``silence_seconds`` without a byte.
@@ -49,7 +50,7 @@
         while True:
             now = time.monotonic()
             if now >= self.deadline:
-                raise TimeLimitReached("no time is left")
+                raise TimeLimitReached("the deadline has passed")
             if now >= silent_at:
                 raise UpstreamSilent(f"no byte for {self.silence_seconds} s")
             wait = min(self.deadline, silent_at) - now
@@ -65,6 +66,6 @@
             raise CallerLeft("the caller closed its connection")
         if not self._caller.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
             raise CallerLeft("the caller closed its connection")
-        # The caller has sent its next request already: its bytes stay readable,
-        # so only its close is watched from here on.
+        # The caller has already sent its next request. Its bytes stay readable, so from
+        # here on only the close of the connection is polled.
         self._caller_events = select.POLLRDHUP
