--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Sends a request to upstreams and brings the answer back."""
+"""Forwards callers' requests to upstreams and relays the responses."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/final_refusal.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/final_refusal.py
@@ -1,4 +1,4 @@
-"""The final answer to a request that no upstream can take in time."""
+"""The refusal of a request that no upstream can serve in time."""
 
 from redwingscale_daemon._internal.exceptions import Refusal
 from redwingscale_daemon._internal.forwarding.call import Call
@@ -6,10 +6,10 @@
 
 
 def final_refusal(call: Call, code: str, detail: str, retry_after_seconds: float) -> Refusal:
-    """Return the final answer: a refusal, or a failure where the request may have run.
+    """Return a 503 if the request has certainly not run, a 502 otherwise.
 
-    A refusal promises that it has not: a request that an upstream has taken before
-    it was lost is none of that kind.
+    A 503 promises that the request has not run, so it must not be used after an
+    upstream accepted the request and was lost.
     """
     detail = "; ".join([detail, *call.attempts.history])
     if call.attempts.certainly_not_run:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -1,4 +1,4 @@
-"""Waits until an upstream holds what a request asks for."""
+"""Waits until the model or adapter of a request is resident at an upstream."""
 
 import time
 from collections.abc import Callable
@@ -18,42 +18,44 @@
 from redwingscale_daemon._internal.forwarding.throttle_wait import ThrottleWait
 from redwingscale_daemon._internal.lifecycle.open_requests import OpenRequests
 
-# How often a waiting request looks whether its caller is still there.
+# How often a waiting request checks that its caller is still connected.
 CALLER_CHECK_SECONDS = 0.05
-# An order giver that is there answers a new need within some tens of milliseconds.
+# A live leader announces a load for new demand within some tens of milliseconds. Without
+# updates from a leader, a request waits no longer than this.
 NO_UPDATES_WAIT_SECONDS = 0.6
-# A load for a request whose holders reject it is told within this time, if there is one.
+# If the leader loads the unit elsewhere for a request whose holders reject it, the load
+# is announced within this time.
 LOAD_ANNOUNCED_SECONDS = 0.3
-# A request that waits must leave its upstream time to read the prompt.
+# Time that a waiting request leaves its upstream to read the prompt.
 MIN_SERVICE_SECONDS = 0.25
-# Without news of a load there is none under way: coming back soon would only be
-# refused again.
+# If no load is announced, none is in progress, and an earlier retry would be refused
+# again.
 NO_HOLDER_RETRY_SECONDS = 2.0
 OVERLOADED_RETRY_SECONDS = 1.0
-# A request behind a queue of more latency targets than this is refused.
+# A request is refused if the queue before it exceeds this many latency targets.
 MAX_QUEUE_TARGETS = 2.0
 MILLISECONDS_PER_SECOND = 1000.0
-# Before the end of the process, for the answer to reach the caller.
+# Time before the end of the process for a refusal to reach the caller.
 STOP_MARGIN_SECONDS = 0.8
-# Another instance takes the request at once.
+# Another instance can serve the request at once.
 STOPPING_RETRY_SECONDS = 0.05
 
 
 class WaitSink(Protocol):
-    """Takes what waiting requests need."""
+    """Counts the demand of waiting requests."""
 
     def begin_wait(self, service: str, unit: Unit, max_wait_seconds: float) -> None:
-        """Note that a request waits for ``unit``."""
+        """Count a request that waits for ``unit`` for up to ``max_wait_seconds``."""
 
     def end_wait(self, service: str, unit: Unit) -> None:
-        """Note that it waits no more."""
+        """Remove a request that no longer waits for ``unit``."""
 
     def note_overload(self, service: str, unit: Unit) -> None:
-        """Note a request whose holders were too busy for it."""
+        """Count a request whose holders were too busy to serve it in time."""
 
 
 class HolderWait(NamedTuple):
-    """What a wait looks at."""
+    """Chooses the holder of a request's unit, waiting for one if there is none."""
 
     chooser: Chooser
     changes: Changes
@@ -61,15 +63,16 @@
     demand: WaitSink
     open_requests: OpenRequests
     gate: SendGate
-    # When to come back if this instance hears neither the order giver nor the list, None
-    # while it hears one of them.
+    # Seconds after which a refused caller should retry while this instance is isolated:
+    # it reaches neither the leader nor the list, or only its own failure domain. None
+    # while it is not isolated.
     caller_retry_seconds: Callable[[], float | None] = lambda: None
 
     def choose_holder(self, call: Call, prompt: Prompt) -> Candidate:
-        """Return the best holder, waiting for one; raise `Refusal` or `CallerLeft`.
+        """Return the best holder, waiting for one; raises `Refusal`, `CallerLeft`.
 
-        A request that cannot be served in time is given up on at once, with when
-        to come back: holding it would keep the caller from trying elsewhere.
+        A request that cannot be served in time is refused at once, with a retry time:
+        a longer wait would keep the caller from trying another instance.
         """
         found = self.chooser.choose_holder(call.service, prompt, call.attempts.tried)
         if found is not None:
@@ -85,24 +88,27 @@
                 self.demand.end_wait(call.service, prompt.unit)
 
     def _check_queue(self, call: Call, prompt: Prompt, throttled: list[str]) -> None:
-        """Raise `Refusal` where neither the holders that take none now nor a load serve it in time."""
+        """Raise `Refusal` if neither the throttled holders nor a load can serve it in time."""
         ready_in = self.residency.ready_in(str(prompt.unit))
         if ready_in is not None and ready_in <= _max_wait_seconds(call):
             return
         if not self.gate.rate_limited(throttled):
-            # The order giver may bring the unit to another upstream for this request.
+            # The holders only reject requests for now: the leader may load the unit at
+            # another upstream.
             return
         try:
-            ThrottleWait(self.gate, self.changes).check_queue(call, throttled, _max_wait_seconds(call))
+            ThrottleWait(self.gate, self.changes).check_queue(
+                call, throttled, _max_wait_seconds(call)
+            )
         except Refusal:
             self.demand.note_overload(call.service, prompt.unit)
             raise
 
     def _choose_in_time(self, call: Call, prompt: Prompt, found: Candidate) -> Candidate:
-        """Return a holder that answers in time, ``found`` if it does; raise `Refusal`.
+        """Return ``found``, or the best of all holders if ``found`` is too late.
 
-        Not all holders were compared: one whose queue is long says nothing of those
-        that were not drawn, and a request is refused only where the best is too late.
+        The chooser compares only a sample of the holders, so a long queue at ``found``
+        says nothing about the rest. Raises `Refusal` only if the best one is too late.
         """
         if _overload_refusal(call, found) is None:
             return found
@@ -133,27 +139,30 @@
             call.watch.check_caller()
 
     def _refuse_if_stopping(self, call: Call) -> None:
-        # A planned stop must not cut a request that it has read: one that still
-        # waits when the process is about to end would be closed without an answer.
+        # A request that still waits when the process ends would have its connection
+        # closed without a response, although the stop was planned.
         if self.open_requests.ends_at - time.monotonic() < STOP_MARGIN_SECONDS:
-            raise final_refusal(call, "stopping", "the instance stops", STOPPING_RETRY_SECONDS)
+            raise final_refusal(
+                call, "stopping", "the instance is stopping", STOPPING_RETRY_SECONDS
+            )
 
     def _check_retry_times(
         self, call: Call, prompt: Prompt, throttled: list[str], ready_in: float | None
     ) -> None:
-        """Raise `Refusal` where rejections name later times than the request can wait for."""
+        """Raise `Refusal` if all retry times of the holders are later than the wait can last."""
         retry_in = self.gate.retry_seconds(throttled)
         if not throttled or retry_in <= max(0.0, _max_wait_seconds(call)):
             return
         self.demand.note_overload(call.service, prompt.unit)
-        detail = f"{','.join(throttled)} may be asked again in {retry_in:.2f} s"
+        detail = f"{','.join(throttled)} accept requests again in {retry_in:.2f} s"
         retry_seconds = min(retry_in, ready_in or NO_HOLDER_RETRY_SECONDS)
         raise final_refusal(call, "upstream_rejects", detail, retry_seconds)
 
     def _refuse_if_not_in_time(self, call: Call, prompt: Prompt, waited: float) -> None:
         if (retry_seconds := self.caller_retry_seconds()) is not None:
-            # Nobody hears of the need from here: another instance may be better off.
-            raise final_refusal(call, "cut_off", f"no news of {prompt.unit}", retry_seconds)
+            # The leader does not receive this instance's demand: the caller should retry at
+            # another instance.
+            raise final_refusal(call, "cut_off", f"no updates about {prompt.unit}", retry_seconds)
         left = _max_wait_seconds(call)
         ready_in = self.residency.ready_in(str(prompt.unit))
         throttled = self.chooser.throttled_holders(call.service, prompt, call.attempts.tried)
@@ -172,15 +181,19 @@
 
 
 def _overload_refusal(call: Call, found: Candidate) -> Refusal | None:
-    """Return the refusal where even the best holder would answer far too late.
+    """Return a refusal if ``found`` would send the first event too late, else None.
 
-    A request that waits behind more than fits into its time takes the time of
-    those behind it as well, and all of them are late; refused, it costs nothing
-    and comes back when the queue is shorter. The time to read its own prompt is
-    no queue: counted, it would have the largest requests refused most often.
+    A request that waits behind a queue too long for its time limit also delays those
+    behind it, and all of them are late; refused, it costs nothing and is retried when
+    the queue is shorter. The time to read its own prompt does not count as queue:
+    otherwise the largest requests would be refused most often. A request that was
+    already sent to an upstream is not refused here.
     """
     longest = call.route.latency_target_seconds * MAX_QUEUE_TARGETS
-    queue, expected = found.queue_ms / MILLISECONDS_PER_SECOND, found.expected_ms / MILLISECONDS_PER_SECOND
+    queue, expected = (
+        found.queue_ms / MILLISECONDS_PER_SECOND,
+        found.expected_ms / MILLISECONDS_PER_SECOND,
+    )
     max_wait = _max_wait_seconds(call)
     excess = max(queue - longest, expected - max_wait)
     if excess <= 0 or call.attempts.count:
@@ -188,17 +201,18 @@
     return Refusal(
         503,
         "overloaded",
-        f"{found.upstream.id} would begin in {expected:.2f} s behind {queue:.2f} s of others; "
-        f"{longest:.2f} s of them and {max_wait:.2f} s in all are worth waiting",
+        f"{found.upstream.id} would begin in {expected:.2f} s behind a queue of {queue:.2f} s; "
+        f"at most {longest:.2f} s of queue and {max_wait:.2f} s in all are accepted",
         retry_after_seconds=max(OVERLOADED_RETRY_SECONDS, excess),
     )
 
 
 def _max_wait_seconds(call: Call) -> float:
-    """Return the seconds that a wait may still last: the upstream must have time left.
+    """Return the seconds that the request can still wait for an upstream.
 
-    Callers leave a stream long before their deadline when no event comes, counted
-    from their request or from the last event that they got.
+    Leaves the upstream `MIN_SERVICE_SECONDS`. Callers of a stream disconnect long
+    before their deadline if no event arrives; this is counted from the arrival of the
+    request or from the last event.
     """
     since = call.attempts.last_event_at or call.request.arrived_at
     next_event = since + call.route.first_event_seconds - time.monotonic()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/parts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/parts.py
@@ -1,4 +1,4 @@
-"""What both relays need, as one value for wiring."""
+"""The dependencies that both relays share, as one value for wiring."""
 
 from typing import NamedTuple
 
@@ -14,7 +14,7 @@
 
 
 class RelayParts(NamedTuple):
-    """The parts that send requests and know upstreams."""
+    """The components that send requests and track the state of upstreams."""
 
     dialect: Dialect
     sender: Sender
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -1,4 +1,4 @@
-"""Brings the answers of services that run no models."""
+"""Relays requests to services that run no models."""
 
 from http.client import HTTPException
 
@@ -24,22 +24,22 @@
 
 FIRST_SERVER_ERROR_STATUS = 500
 FIRST_ERROR_STATUS = 400
-# A full upstream has places again within a few requests' time.
+# A full upstream has free slots again within the time of a few requests.
 NO_UPSTREAM_RETRY_SECONDS = 0.2
 PLAIN_PRIORITY = 5
-# A request that waits must leave its upstream time to run it.
+# Time that a waiting request leaves its upstream to run it.
 MIN_SERVICE_SECONDS = 0.25
 
 
 class PlainRelay:
-    """Passes a request on, and its whole answer back."""
+    """Forwards a request and returns the response once it is complete."""
 
     def __init__(self, parts: RelayParts, changes: Changes) -> None:
         self._parts = parts
         self._throttle_wait = ThrottleWait(parts.gate, changes)
 
     def run(self, call: Call) -> None:
-        """Answer ``call``; raise `Refusal`, `CallerLeft`."""
+        """Serve ``call``; raises `Refusal`, `CallerLeft`."""
         while True:
             candidate = self._choose_upstream(call)
             if candidate is None:
@@ -47,7 +47,7 @@
                     return
                 raise _no_upstream_refusal(call.attempts)
             if not self._parts.gate.draw(candidate.upstream.id):
-                # Another request has used the permit, or was rejected.
+                # Another request used the permit, or the upstream has just rejected one.
                 continue
             load = self._parts.load_tracker.total(candidate.upstream.id)
             backpressure = self._parts.backpressure.state(candidate.upstream.id)
@@ -60,7 +60,7 @@
                 ticket.close()
 
     def _choose_upstream(self, call: Call) -> Candidate | None:
-        """Return the best upstream, waiting for one that takes no request yet; None without any."""
+        """Return the best upstream, waiting for throttled ones; None if none is usable."""
 
         def choose() -> Candidate | None:
             return self._parts.chooser.choose_plain(call.service, call.attempts.tried)
@@ -76,7 +76,7 @@
         )
 
     def _send(self, call: Call, upstream: Upstream) -> bool:
-        """Return whether the caller has its answer; raise when it can have none."""
+        """Return whether the reply was sent, False to retry; raises if neither is possible."""
         parts = self._parts
         headers = parts.dialect.attempt_headers(
             call.headers, upstream.platform_name, call.watch.remaining(), PLAIN_PRIORITY, None
@@ -111,7 +111,7 @@
             body = read_response_body(response)
         except (HTTPException, OSError, UpstreamSilent) as error:
             answering.connection.discard()
-            lost = Lost(upstream, f"answer broke off: {error!r}")
+            lost = Lost(upstream, f"response broke off: {error!r}")
             note_failure(self._parts, call, lost)
             if not call.attempts.take_retry(lost):
                 raise _failure_refusal(lost.reason) from error
@@ -128,8 +128,13 @@
             self._parts.health.failed(upstream.id)
         elif not failed:
             self._parts.health.answered(upstream.id)
-        unsigned = response.status < FIRST_ERROR_STATUS and not self._parts.dialect.is_signed(response)
-        if (failed or unsigned) and call.attempts.take_retry_after_error(upstream.id, f"status {response.status}"):
+        unsigned = (
+            response.status < FIRST_ERROR_STATUS
+            and not self._parts.dialect.is_signed(response)
+        )
+        if (failed or unsigned) and call.attempts.take_retry_after_error(
+            upstream.id, f"status {response.status}"
+        ):
             log_event(
                 "retried",
                 request=call.terms.request_id,
@@ -142,16 +147,16 @@
                 call.attempts.failure = FailedResponse(response.status, headers, body)
             return False
         if unsigned:
-            raise _failure_refusal("the answer bears no signature")
+            raise _failure_refusal("the response is not signed")
         headers = self._parts.dialect.response_headers(response)
         call.reply.whole(response.status, headers, body)
         return True
 
 
 def _deliver_failure(call: Call) -> bool:
-    """Give the caller an upstream's own failure, if no later sending brought more.
+    """Reply with the failure that an upstream sent earlier; return whether there is one.
 
-    It is an answer that is there: a failure of ours in its place would say less.
+    It tells the caller more than a refusal by this instance would.
     """
     failure = call.attempts.failure
     if failure is None:
@@ -176,4 +181,4 @@
 
 
 def _time_limit_refusal() -> Refusal:
-    return Refusal(504, "time_limit", "no answer within the time limit", run=RunState.UNKNOWN)
+    return Refusal(504, "time_limit", "no response within the time limit", run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/repeat_budget.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/repeat_budget.py
@@ -1,4 +1,4 @@
-"""How often requests may be sent to a second upstream."""
+"""Bounds how often requests are sent to another upstream."""
 
 import threading
 import time
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-# The bound is over all instances, and each sees only a part of what counts: the
-# shares leave room for instances that start or are not heard of yet.
+# The rule bounds all instances together, and each sees only its own requests. These
+# shares of the rule leave room for instances that are starting or not yet seen.
 RATIO_SHARE = 0.75
 SLACK_SHARE = 0.6
 
 
 class BudgetRule(NamedTuple):
-    """In any window, repeats stay under ``ratio`` times the requests plus ``slack``."""
+    """In any window, repeats stay below ``ratio`` times the requests plus ``slack``."""
 
     ratio: float
     slack: float
@@ -23,8 +23,8 @@
 class RepeatBudget:
     """This instance's share of the repeats of each service.
 
-    When a service fails, each of its requests would be sent again: without a
-    bound over all instances the failing service meets twice its load.
+    Guards against retry storms: without a bound over all instances, a failing service
+    would receive each of its requests again, that is twice its load.
     """
 
     def __init__(self, rule: BudgetRule, instances: Callable[[], int]) -> None:
@@ -35,12 +35,12 @@
         self._repeats: dict[str, deque[float]] = defaultdict(deque)
 
     def note_request(self, service: str) -> None:
-        """Count the first sending of a request."""
+        """Count the first attempt of a request."""
         with self._lock:
             self._requests[service].append(time.monotonic())
 
     def take(self, service: str) -> bool:
-        """Return whether one more repeat may be sent, and count it."""
+        """Count one more repeat if it is allowed; return whether it is."""
         now = time.monotonic()
         with self._lock:
             requests = self._recent(self._requests[service], now)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -1,4 +1,4 @@
-"""Takes each request of a caller to its answer."""
+"""Handles each request of a caller from arrival to reply."""
 
 import random
 from collections.abc import Callable
@@ -30,19 +30,19 @@
 from redwingscale_daemon._internal.workspaces.workspace import Workspace
 
 NO_CONFIGURATION_RETRY_SECONDS = 0.5
-# Another instance takes the request; here a thread is free when a stream ends.
+# Another instance can serve the request; here a thread becomes free when a stream ends.
 NO_THREAD_RETRY_SECONDS = 0.3
 
 
 class DemandSink(Protocol):
-    """Counts what callers ask for."""
+    """Counts the requests of callers as demand."""
 
     def arrived(self, service: str, terms: Terms, weight: float) -> None:
-        """Note a request, ``weight`` times by its urgency."""
+        """Count a request; ``weight`` depends on its urgency."""
 
 
 class RequestHandler:
-    """Routes, relays and refuses; each request gets exactly one final answer."""
+    """Routes, relays or refuses requests; each one gets exactly one final reply."""
 
     def __init__(
         self,
@@ -58,9 +58,9 @@
         leaves_rotation: Callable[[], bool] = lambda: False,
         crowded: Callable[[], bool] = lambda: False,
     ) -> None:
-        # Whether callers had better come through another instance from now on.
+        # Whether callers should use another instance from now on.
         self._leaves_rotation = leaves_rotation
-        # Whether all threads that may answer requests are taken.
+        # Whether all threads that may serve requests are in use.
         self._crowded = crowded
         self._routes = routes
         self._dialect = dialect
@@ -75,15 +75,18 @@
         self._random = random.Random()
 
     def handle(self, request: IngressRequest, reply: Reply) -> None:
-        """Answer ``request``; raise `CallerLeft` when nobody waits any more."""
+        """Serve ``request``; raises `CallerLeft` if the caller has disconnected."""
         with self._open_requests.counted():
             if self._open_requests.draining or self._leaves_rotation():
-                # A kept connection would carry a next request just when the port closes.
+                # A persistent connection could carry the next request just as the port closes.
                 reply.close_after()
             self._handle(request, reply)
 
     def screen(self, head: IngressRequest, reply: Reply) -> bool:
-        """Refuse a request whose key its head shows to be unknown; return whether it was."""
+        """Refuse a request with a missing or unknown key before its body is read.
+
+        Returns whether it was refused.
+        """
         table = self._routes.get()
         if table is None or table.keys is None:
             return False
@@ -140,12 +143,12 @@
         permit = Permit(self._routes, table, route, terms.key_digest, self._limiter)
         workspace = permit.workspace
         if self._crowded():
-            # One that waited for a thread unread would be given up by its caller
-            # without a word, and nobody could say whether it had run.
+            # Left unread until a thread is free, the request would time out at the caller,
+            # which could not tell whether it had run.
             raise Refusal(
                 503,
                 "no_thread",
-                "as many requests are open as this instance may serve at once",
+                "this instance already serves its maximum number of requests",
                 retry_after_seconds=NO_THREAD_RETRY_SECONDS,
             )
         permit.draw(terms.request_id, terms.tokens)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -1,4 +1,4 @@
-"""Brings the streams of model services, across the loss of upstreams."""
+"""Relays streams of model services and resumes them when an upstream is lost."""
 
 from http.client import HTTPException
 
@@ -23,32 +23,32 @@
 
 FIRST_ERROR_STATUS = 400
 FIRST_SERVER_ERROR_STATUS = 500
-# Priorities that an upstream tells apart, 0 the most urgent.
+# Number of priorities that upstreams distinguish, 0 being the most urgent.
 PRIORITY_LEVELS = 10
 LATE_TARGET_SECONDS = 2.0
-# An upstream that sends nothing for this long in mid-stream has lost the run: a
-# step takes some 10 ms, and a preempted run is back within a second.
+# An upstream that sends nothing for this long in mid-stream has lost the run: a step
+# takes some 10 ms, and a preempted run resumes within a second.
 STREAM_SILENCE_SECONDS = 1.6
-# Before the first event a sound upstream may have a queue.
+# Before the first event, the request may be queued at a healthy upstream.
 FIRST_EVENT_SILENCE_SECONDS = 2.2
 REFUSED_RETRY_SECONDS = 0.3
 MILLISECONDS_PER_SECOND = 1000.0
 
 
 class _Progress:
-    """How far the caller's stream has come."""
+    """The position in the caller's stream."""
 
     def __init__(self, last_event: int | None) -> None:
         self.last_event = last_event
         self.events = 0
 
     def is_next(self, event: Event) -> bool:
-        """Return whether ``event`` is the next one; False for one that was delivered.
+        """Return whether ``event`` is the next one, False if it was already delivered.
 
-        Raises HTTPException at a gap: the upstream's stream isn't the one asked for.
+        Raises `HTTPException` at a gap: the upstream did not resume where requested.
         """
         if event.number is None:
-            raise HTTPException("an event has no number")
+            raise HTTPException("event without an id")
         if self.last_event is None or event.number == self.last_event + 1:
             return True
         if event.number <= self.last_event:
@@ -56,13 +56,13 @@
         raise HTTPException(f"event {event.number} follows {self.last_event}")
 
     def note_delivered(self, event: Event) -> None:
-        """Note that the caller has ``event``."""
+        """Record that ``event`` was written to the caller."""
         self.last_event = event.number
         self.events += 1
 
 
 class StreamRelay:
-    """Passes events on one by one; continues a resumable run where another ended."""
+    """Relays events one by one; resumes a run at another upstream if the route allows it."""
 
     def __init__(self, parts: RelayParts, wait: HolderWait, prefixes: PrefixMemory) -> None:
         self._parts = parts
@@ -70,15 +70,15 @@
         self._prefixes = prefixes
 
     def run(self, call: Call, prompt: Prompt) -> None:
-        """Answer ``call``; raise `Refusal`, `CallerLeft`.
+        """Serve ``call``; raises `Refusal`, `CallerLeft`.
 
-        A stream that cannot be brought to its end is cut, never ended as if whole.
+        A stream that cannot be completed is cut, so that it never looks complete.
         """
         progress = _Progress(call.terms.last_event)
         while True:
             candidate = self._wait.choose_holder(call, prompt)
             if not self._parts.gate.draw(candidate.upstream.id):
-                # Another request has used the permit, or was rejected.
+                # Another request used the permit, or the upstream has just rejected one.
                 continue
             if not call.attempts.count:
                 call.permit.check()
@@ -103,7 +103,7 @@
         progress: _Progress,
         ticket: LoadTicket,
     ) -> bool:
-        """Return whether the caller has its answer; raise when it can have none."""
+        """Return whether the reply is complete, False to retry; raises if neither is possible."""
         upstream = candidate.upstream
         headers = self._parts.dialect.attempt_headers(
             call.headers,
@@ -125,7 +125,9 @@
             case Lost():
                 if not progress.events:
                     waited_ms = call.attempts.seconds_since_send() * MILLISECONDS_PER_SECOND
-                    self._parts.latency_factors.observed(upstream.id, candidate.first_event_ms, waited_ms)
+                    self._parts.latency_factors.observed(
+                        upstream.id, candidate.first_event_ms, waited_ms
+                    )
                 return self._prepare_retry(call, outcome)
             case NotRun():
                 return self._prepare_retry(call, outcome)
@@ -143,7 +145,7 @@
             if response.status >= FIRST_ERROR_STATUS:
                 return self._relay_failure(call, answering)
             if not self._parts.dialect.is_signed(response):
-                raise HTTPException("the answer bears no signature")
+                raise HTTPException("the response is not signed")
             self._relay_events(call, answering, candidate, progress, ticket)
         except (HTTPException, OSError, UpstreamSilent, ValueError) as error:
             answering.connection.discard()
@@ -174,7 +176,9 @@
                 begun = True
                 ticket.prompt_read()
                 real_ms = call.attempts.note_first_event() * MILLISECONDS_PER_SECOND
-                self._parts.latency_factors.observed(answering.upstream.id, candidate.first_event_ms, real_ms)
+                self._parts.latency_factors.observed(
+                    answering.upstream.id, candidate.first_event_ms, real_ms
+                )
                 if real_ms / MILLISECONDS_PER_SECOND > call.route.latency_target_seconds:
                     self._note_late_first_event(call)
             call.watch.silence_seconds = STREAM_SILENCE_SECONDS if call.route.resumable else None
@@ -199,7 +203,9 @@
         if status in FAILURE_STATUSES:
             self._parts.health.failed(answering.upstream.id)
         failed = status >= FIRST_SERVER_ERROR_STATUS
-        if failed and call.attempts.take_retry_after_error(answering.upstream.id, f"status {status}"):
+        if failed and call.attempts.take_retry_after_error(
+            answering.upstream.id, f"status {status}"
+        ):
             return False
         if call.reply.started:
             raise Refusal(502, "stream_broken", f"status {status}", run=RunState.RUN)
@@ -207,7 +213,7 @@
         return True
 
     def _prepare_retry(self, call: Call, outcome: NotRun | Lost) -> bool:
-        """Return False to go on at another upstream; raise when there may be none."""
+        """Record the failure; return False to retry, raises `Refusal` if that is not allowed."""
         note_failure(self._parts, call, outcome)
         if call.attempts.take_retry(outcome):
             call.watch.check_caller()
@@ -229,4 +235,4 @@
 
 
 def _time_limit_refusal() -> Refusal:
-    return Refusal(504, "time_limit", "no answer within the time limit", run=RunState.UNKNOWN)
+    return Refusal(504, "time_limit", "no response within the time limit", run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/terms.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/terms.py
@@ -1,4 +1,4 @@
-"""What a caller asks for beside its request."""
+"""What the headers of a request ask for, beyond the request itself."""
 
 from typing import NamedTuple
 
@@ -6,12 +6,13 @@
 
 
 class Terms(NamedTuple):
-    """``deadline_seconds`` count from the arrival, None where the caller waits for ever.
+    """The terms of one request, decoded from the caller's headers.
 
-    ``last_event`` is the last event that the caller has of an earlier answer to
-    this stream; ``prompt`` is None for a request that runs no model. ``tokens`` are
-    those it asks for in all, None where it names none. ``key_digest`` is
-    that of the caller's key, None where it has sent none.
+    ``deadline_seconds`` counts from the arrival, None without a deadline. ``prompt`` is
+    None for a request that runs no model. ``last_event`` is the number of the last event
+    that the caller received of this stream, None if it does not resume one. ``tokens`` is
+    the total that the request asks for, None if it names none. ``key_digest`` is the
+    digest of the caller's key, None if it sent none.
     """
 
     request_id: str
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/throttle_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/throttle_wait.py
@@ -1,4 +1,4 @@
-"""Waits until upstreams that hold requests back take one."""
+"""Waits until a throttled upstream accepts a request."""
 
 from collections.abc import Callable, Collection
 
@@ -9,20 +9,20 @@
 from redwingscale_daemon._internal.forwarding.call import Call
 from redwingscale_daemon._internal.forwarding.final_refusal import final_refusal
 
-# How often a waiting request looks whether its caller is still there.
+# How often a waiting request checks that its caller is still connected.
 CALLER_CHECK_SECONDS = 0.05
 MIN_RETRY_SECONDS = 0.3
 
 
 class ThrottleWait:
-    """Holds a request while its turn comes in time, and refuses it at once where it does not."""
+    """Delays a request until it may be sent, or refuses it at once if that is too late."""
 
     def __init__(self, gate: SendGate, changes: Changes) -> None:
         self._gate = gate
         self._changes = changes
 
     def check_queue(self, call: Call, throttled: Collection[str], max_wait_seconds: float) -> None:
-        """Raise `Refusal` where no upstream takes the request as long as it can wait."""
+        """Raise `Refusal` if no upstream accepts the request within ``max_wait_seconds``."""
         if self._gate.wait_seconds(throttled) > max_wait_seconds:
             raise self._refusal(call, throttled, max_wait_seconds)
 
@@ -33,14 +33,17 @@
         max_wait_seconds: Callable[[], float],
         choose: Callable[[], Candidate | None],
     ) -> Candidate:
-        """Return what ``choose`` finds before seconds_left ends; raise `Refusal`, `CallerLeft`."""
+        """Return the first candidate that ``choose`` finds; raises `Refusal`, `CallerLeft`.
+
+        Refuses once the remaining ``max_wait_seconds`` are over or too short.
+        """
         self.check_queue(call, throttled, max_wait_seconds())
         with self._gate.waiting(throttled):
             while True:
                 seen = self._changes.count
                 if (found := choose()) is not None:
                     return found
-                # A rejection may have come meanwhile that names a later time.
+                # An upstream may have named a later retry time in the meantime.
                 seconds_left = max(0.0, max_wait_seconds())
                 if not seconds_left or self._gate.retry_seconds(throttled) > seconds_left:
                     raise self._refusal(call, throttled, seconds_left)
@@ -53,6 +56,6 @@
         return final_refusal(
             call,
             "upstream_rate_limited" if limited else "upstream_rejects",
-            f"{','.join(throttled)} would take it in {wait:.2f} s, {max_wait_seconds:.2f} s are left",
+            f"{','.join(throttled)} accept it in {wait:.2f} s, {max_wait_seconds:.2f} s are left",
             max(MIN_RETRY_SECONDS, wait),
         )
