--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
@@ -13,13 +13,6 @@
 from redwingscale_daemon._internal.admission.gate import Gate
 from redwingscale_daemon._internal.configuration.current import CurrentConfiguration
 from redwingscale_daemon._internal.entry.authentication import authenticate
-from redwingscale_daemon._internal.entry.chunks import (
-    Chat,
-    Completion,
-    Shape,
-    stream_body,
-    whole_body,
-)
 from redwingscale_daemon._internal.entry.generation_request import build_request, parse_body
 from redwingscale_daemon._internal.entry.problem import body_refusal, problem_response
 from redwingscale_daemon._internal.entry.request_headers import (
@@ -27,6 +20,13 @@
     new_request_id,
     parse_headers,
 )
+from redwingscale_daemon._internal.entry.response_format import (
+    Chat,
+    Completion,
+    ResponseFormat,
+    stream_body,
+    whole_body,
+)
 from redwingscale_daemon._internal.exceptions import Refusal, UpstreamError
 from redwingscale_daemon._internal.idempotency.claim import ClaimKey, request_fingerprint
 from redwingscale_daemon._internal.idempotency.once import Once
@@ -149,7 +149,7 @@
 
     def _complete(
         self,
-        shape: Shape,
+        response_format: ResponseFormat,
         configuration: Configuration,
         caller: Caller,
         request_id: str,
@@ -157,15 +157,15 @@
     ) -> bytes | Iterator[bytes]:
         headers = cherrypy.request.headers
         raw = read_body(self._body_limit)
-        body = parse_body(raw, chat=isinstance(shape, Chat))
+        body = parse_body(raw, chat=isinstance(response_format, Chat))
         request = build_request(body, configuration, caller, headers, request_id)
         self._generation.note_arrival(request)
         events = self._admitted(_arrival(request, caller), request, raw, span)
         if body.stream:
             cherrypy.response.headers["Content-Type"] = "text/event-stream"
-            return stream_body(shape, request, events)
+            return stream_body(response_format, request, events)
         cherrypy.response.headers["Content-Type"] = "application/json"
-        return self._whole(shape, request, events)
+        return self._whole(response_format, request, events)
 
     def _admitted(
         self, arrival: Arrival, request: GenerationRequest, raw: bytes, span: Span
@@ -188,9 +188,9 @@
             lambda: self._generation.run(request, span),
         )
 
-    def _whole(self, shape: Shape, request: Any, events: Iterator[Any]) -> bytes:
+    def _whole(self, response_format: ResponseFormat, request: Any, events: Iterator[Any]) -> bytes:
         try:
-            return whole_body(shape, request, events)
+            return whole_body(response_format, request, events)
         except UpstreamError as error:
             raise Refusal(
                 502, "upstream_failed", str(error), run=error.run, retry_after_seconds=1.0
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/chunks.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/response_format.py
@@ -1,4 +1,4 @@
-"""Answers in the shape of the OpenAI interface."""
+"""Answers in the response_format of the OpenAI interface."""
 
 import time
 from collections.abc import Iterator
@@ -26,18 +26,18 @@
     """``/v1/chat/completions``."""
 
 
-Shape = Completion | Chat
+ResponseFormat = Completion | Chat
 
 
 def stream_body(
-    shape: Shape, request: GenerationRequest, events: Iterator[StreamEvent]
+    response_format: ResponseFormat, request: GenerationRequest, events: Iterator[StreamEvent]
 ) -> Iterator[bytes]:
     """Yield server-sent events; each bears the index of its token as its id.
 
     The frame around the text is the same for every token, so it is encoded
     once a stream: this loop runs for each token.
     """
-    head, tail = _frame(shape, request)
+    head, tail = _chunk_frame(response_format, request)
     for event in events:
         match event:
             case TokenEvent(position=position, text=text):
@@ -48,11 +48,11 @@
                     tail,
                 )
             case EndEvent(total=total):
-                yield b"id: %d\ndata: %b\n\n" % (total, _last_chunk(shape, request))
+                yield b"id: %d\ndata: %b\n\n" % (total, _last_chunk(response_format, request))
     yield DONE
 
 
-def whole_body(shape: Shape, request: GenerationRequest, events: Iterator[StreamEvent]) -> bytes:
+def whole_body(response_format: ResponseFormat, request: GenerationRequest, events: Iterator[StreamEvent]) -> bytes:
     """Return the answer as one JSON document; raise `StreamBroken` when it is cut."""
     texts: list[str] = []
     count = 0
@@ -63,32 +63,32 @@
             case EndEvent(total=total):
                 count = total
     usage = {"completion_tokens": count}
-    choice = {"index": 0, "finish_reason": "stop"} | _whole_choice(shape, "".join(texts))
+    choice = {"index": 0, "finish_reason": "stop"} | _whole_choice(response_format, "".join(texts))
     return msgspec.json.encode(
-        _base(shape, request, _WHOLE_OBJECT[type(shape)]) | {"choices": [choice], "usage": usage}
+        _common_fields(response_format, request, _WHOLE_OBJECT[type(response_format)]) | {"choices": [choice], "usage": usage}
     )
 
 
 _WHOLE_OBJECT = {Completion: "text_completion", Chat: "chat.completion"}
 _CHUNK_OBJECT = {Completion: "text_completion", Chat: "chat.completion.chunk"}
-_TEXT_MARK = "\x00"
+_TEXT_PLACEHOLDER = "\x00"
 
 
-def _frame(shape: Shape, request: GenerationRequest) -> tuple[bytes, bytes]:
-    choice = {"index": 0, "finish_reason": None} | _chunk_choice(shape, _TEXT_MARK)
-    value = _base(shape, request, _CHUNK_OBJECT[type(shape)]) | {"choices": [choice]}
-    head, _, tail = msgspec.json.encode(value).partition(msgspec.json.encode(_TEXT_MARK))
+def _chunk_frame(response_format: ResponseFormat, request: GenerationRequest) -> tuple[bytes, bytes]:
+    choice = {"index": 0, "finish_reason": None} | _chunk_choice(response_format, _TEXT_PLACEHOLDER)
+    value = _common_fields(response_format, request, _CHUNK_OBJECT[type(response_format)]) | {"choices": [choice]}
+    head, _, tail = msgspec.json.encode(value).partition(msgspec.json.encode(_TEXT_PLACEHOLDER))
     return head, tail
 
 
-def _last_chunk(shape: Shape, request: GenerationRequest) -> bytes:
-    choice = {"index": 0, "finish_reason": "stop"} | _chunk_choice(shape, "")
+def _last_chunk(response_format: ResponseFormat, request: GenerationRequest) -> bytes:
+    choice = {"index": 0, "finish_reason": "stop"} | _chunk_choice(response_format, "")
     return msgspec.json.encode(
-        _base(shape, request, _CHUNK_OBJECT[type(shape)]) | {"choices": [choice]}
+        _common_fields(response_format, request, _CHUNK_OBJECT[type(response_format)]) | {"choices": [choice]}
     )
 
 
-def _base(shape: Shape, request: GenerationRequest, kind: str) -> dict[str, object]:
+def _common_fields(response_format: ResponseFormat, request: GenerationRequest, kind: str) -> dict[str, object]:
     return {
         "id": request.request_id,
         "object": kind,
@@ -97,16 +97,16 @@
     }
 
 
-def _chunk_choice(shape: Shape, text: str) -> dict[str, object]:
-    match shape:
+def _chunk_choice(response_format: ResponseFormat, text: str) -> dict[str, object]:
+    match response_format:
         case Completion():
             return {"text": text}
         case Chat():
             return {"delta": {"content": text}}
 
 
-def _whole_choice(shape: Shape, text: str) -> dict[str, object]:
-    match shape:
+def _whole_choice(response_format: ResponseFormat, text: str) -> dict[str, object]:
+    match response_format:
         case Completion():
             return {"text": text}
         case Chat():
--- a/packages/redwingscale-daemon/tests/unit/relay/test_continuity.py
+++ b/packages/redwingscale-daemon/tests/unit/relay/test_continuity.py
@@ -12,7 +12,7 @@
 import pytest
 from opentelemetry.trace import INVALID_SPAN
 from redwingscale_common.network.server import HttpServer, ServerLimits
-from redwingscale_daemon._internal.entry.chunks import Completion, stream_body
+from redwingscale_daemon._internal.entry.response_format import Completion, stream_body
 from redwingscale_daemon._internal.exceptions import Refusal
 from redwingscale_daemon._internal.models.generation import Attempt, EndEvent
 from redwingscale_daemon._internal.models.run_state import RunState
