--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
@@ -71,7 +71,7 @@
             case ("healthz",):
                 return json_response({"status": "up"})
             case ("readyz",):
-                return self._ready()
+                return self._readiness_response()
         headers = cherrypy.request.headers
         request_id = new_request_id(headers)
         cherrypy.response.headers[REQUEST_ID] = request_id
@@ -83,7 +83,7 @@
             self._metrics.requests.add(1)
             return self._answer(segments, request_id, span)
 
-    def _ready(self) -> bytes:
+    def _readiness_response(self) -> bytes:
         reason = self._readiness.reason()
         return json_response({"ready": not reason, "reason": reason}, 503 if reason else 200)
 
@@ -95,10 +95,10 @@
             answer = self._dispatch(segments, request_id, span)
         except Refusal as refusal:
             self._finish(span)
-            return self._refused(refusal, request_id)
+            return self._refuse(refusal, request_id)
         except cherrypy.HTTPError as error:
             self._finish(span)
-            return self._refused(body_refusal(error), request_id)
+            return self._refuse(body_refusal(error), request_id)
         except BaseException:
             self._finish(span)
             raise
@@ -106,9 +106,9 @@
             self._finish(span)
             return answer
         cherrypy.response.stream = True
-        return self._until_end(answer, request_id, span)
+        return self._stream_to_end(answer, request_id, span)
 
-    def _until_end(self, body: Iterator[bytes], request_id: str, span: Span) -> Iterator[bytes]:
+    def _stream_to_end(self, body: Iterator[bytes], request_id: str, span: Span) -> Iterator[bytes]:
         # An error raised in mid-stream leaves the chunked body without its
         # terminator: the caller sees a cut, never a short answer that looks whole.
         try:
@@ -123,7 +123,7 @@
         span.end()
         self._readiness.leave()
 
-    def _refused(self, refusal: Refusal, request_id: str) -> bytes:
+    def _refuse(self, refusal: Refusal, request_id: str) -> bytes:
         self._metrics.refusals.add(1, {"code": refusal.code})
         log_event("refused", request=request_id, code=refusal.code, run=refusal.run)
         return problem_response(refusal, request_id)
@@ -138,7 +138,7 @@
         caller = authenticate(configuration, cherrypy.request.headers)
         match cherrypy.request.method, segments:
             case "GET", ("v1", "models"):
-                return _models(configuration, caller)
+                return _list_models(configuration, caller)
             case "POST", ("v1", "chat", "completions"):
                 return self._complete(Chat(), configuration, caller, request_id, span)
             case "POST", ("v1", "completions"):
@@ -160,25 +160,25 @@
         body = parse_body(raw, chat=isinstance(response_format, Chat))
         request = build_request(body, configuration, caller, headers, request_id)
         self._generation.note_arrival(request)
-        events = self._admitted(_arrival(request, caller), request, raw, span)
+        events = self._admit(_arrival(request, caller), request, raw, span)
         if body.stream:
             cherrypy.response.headers["Content-Type"] = "text/event-stream"
             return stream_body(response_format, request, events)
         cherrypy.response.headers["Content-Type"] = "application/json"
-        return self._whole(response_format, request, events)
+        return self._collect(response_format, request, events)
 
-    def _admitted(
+    def _admit(
         self, arrival: Arrival, request: GenerationRequest, raw: bytes, span: Span
     ) -> Iterator[StreamEvent]:
         ticket = self._gate.enter(arrival)
         try:
-            events = self._events(request, raw, span)
+            events = self._run_once(request, raw, span)
         except BaseException:
             self._gate.leave(ticket)
             raise
         return self._gate.watch(ticket, events)
 
-    def _events(self, request: GenerationRequest, raw: bytes, span: Span) -> Iterator[StreamEvent]:
+    def _run_once(self, request: GenerationRequest, raw: bytes, span: Span) -> Iterator[StreamEvent]:
         if request.idempotent or not request.idempotency_key:
             return self._generation.run(request, span)
         return self._once.stream(
@@ -188,7 +188,7 @@
             lambda: self._generation.run(request, span),
         )
 
-    def _whole(self, response_format: ResponseFormat, request: Any, events: Iterator[Any]) -> bytes:
+    def _collect(self, response_format: ResponseFormat, request: Any, events: Iterator[Any]) -> bytes:
         try:
             return whole_body(response_format, request, events)
         except UpstreamError as error:
@@ -210,18 +210,18 @@
             raise Refusal(404, "service_unknown", f"no service {name!r}")
         headers = cherrypy.request.headers
         deadline = min(service.deadline_seconds, caller.deadline_seconds)
-        steering = parse_headers(headers, request_id, deadline, idempotent=service.idempotent)
+        control = parse_headers(headers, request_id, deadline, idempotent=service.idempotent)
         request = PlainRequest(
             request_id=request_id,
             caller=caller.name,
             service=name,
             method=cherrypy.request.method,
-            path=_path(path),
+            path=_target(path),
             headers={key: headers[key] for key in FORWARDED_HEADERS if key in headers},
             body=read_body(self._body_limit),
-            idempotent=steering.idempotent,
-            idempotency_key=steering.idempotency_key,
-            deadline_at=steering.deadline_at,
+            idempotent=control.idempotent,
+            idempotency_key=control.idempotency_key,
+            deadline_at=control.deadline_at,
         )
         arrival = Arrival(caller.name, caller.share, service.priority, "", 1, request.deadline_at)
         with self._gate.hold(arrival):
@@ -242,7 +242,7 @@
     )
 
 
-def _models(configuration: Configuration, caller: Caller) -> bytes:
+def _list_models(configuration: Configuration, caller: Caller) -> bytes:
     listed = [
         {"id": name, "object": "model", "owned_by": configuration.deployment}
         for name in configuration.models_by_name
@@ -251,6 +251,6 @@
     return json_response({"object": "list", "data": listed})
 
 
-def _path(segments: list[str]) -> str:
+def _target(segments: list[str]) -> str:
     query = cherrypy.request.query_string
     return "/" + "/".join(segments) + (f"?{query}" if query else "")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/generation_request.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/generation_request.py
@@ -11,7 +11,7 @@
 from redwingscale_daemon._internal.models.generation import GenerationRequest
 
 DEFAULT_MAX_TOKENS = 256
-MOST_TOKENS = 32_768
+MAX_TOKENS_LIMIT = 32_768
 SERVICE_HEADER = "X-Service"
 
 
@@ -42,8 +42,8 @@
         raise Refusal(400, "body_invalid", "`$.messages` must hold at least one message")
     if not chat and body.prompt is None:
         raise Refusal(400, "body_invalid", "`$.prompt` is missing")
-    if not 1 <= body.max_tokens <= MOST_TOKENS:
-        raise Refusal(400, "body_invalid", f"`$.max_tokens` must be from 1 to {MOST_TOKENS}")
+    if not 1 <= body.max_tokens <= MAX_TOKENS_LIMIT:
+        raise Refusal(400, "body_invalid", f"`$.max_tokens` must be from 1 to {MAX_TOKENS_LIMIT}")
     return body
 
 
@@ -55,11 +55,11 @@
     request_id: str,
 ) -> GenerationRequest:
     """Return the typed request; raise `Refusal` when ``caller`` may not make it."""
-    unit = _unit(body.model, configuration, caller)
-    service = _service(configuration, caller, unit, headers.get(SERVICE_HEADER, ""))
+    unit = _find_unit(body.model, configuration, caller)
+    service = _choose_service(configuration, caller, unit, headers.get(SERVICE_HEADER, ""))
     deadline = min(service.deadline_seconds, caller.deadline_seconds)
-    steering = parse_headers(headers, request_id, deadline, idempotent=service.idempotent)
-    prompt = _prompt(body)
+    control = parse_headers(headers, request_id, deadline, idempotent=service.idempotent)
+    prompt = _join_prompt(body)
     return GenerationRequest(
         request_id=request_id,
         caller=caller.name,
@@ -68,14 +68,14 @@
         prompt=prompt,
         max_tokens=body.max_tokens,
         priority=service.priority,
-        idempotent=steering.idempotent,
-        idempotency_key=steering.idempotency_key,
-        deadline_at=steering.deadline_at,
+        idempotent=control.idempotent,
+        idempotency_key=control.idempotency_key,
+        deadline_at=control.deadline_at,
         fingerprint=sha256_hex(f"{unit}\0{prompt}\0{body.max_tokens}".encode()),
     )
 
 
-def _unit(text: str, configuration: Configuration, caller: Caller) -> Unit:
+def _find_unit(text: str, configuration: Configuration, caller: Caller) -> Unit:
     name, _, adapter = text.partition(":")
     model = configuration.models_by_name.get(name)
     # A model of other callers is answered like an unknown one: a caller learns
@@ -87,7 +87,7 @@
     return Unit(name, model.serving, adapter)
 
 
-def _service(configuration: Configuration, caller: Caller, unit: Unit, named: str) -> ModelService:
+def _choose_service(configuration: Configuration, caller: Caller, unit: Unit, named: str) -> ModelService:
     services = configuration.model_services(caller.name, unit.model)
     usable = [s for s in services if _offers(s, unit) and named in ("", s.name)]
     if not usable:
@@ -102,7 +102,7 @@
     )
 
 
-def _prompt(body: CompletionBody) -> str:
+def _join_prompt(body: CompletionBody) -> str:
     if body.messages:
         return "".join(f"<{m.role}>{m.content}\n" for m in body.messages)
     return body.prompt or ""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/request_headers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/request_headers.py
@@ -41,12 +41,12 @@
     return RequestHeaders(
         request_id=request_id,
         idempotency_key=key,
-        idempotent=_flag(headers.get(IDEMPOTENT, ""), default=idempotent),
-        deadline_at=time.monotonic() + _seconds(headers.get(DEADLINE, ""), deadline_seconds),
+        idempotent=_parse_flag(headers.get(IDEMPOTENT, ""), default=idempotent),
+        deadline_at=time.monotonic() + _parse_seconds(headers.get(DEADLINE, ""), deadline_seconds),
     )
 
 
-def _flag(text: str, *, default: bool) -> bool:
+def _parse_flag(text: str, *, default: bool) -> bool:
     match text.lower():
         case "":
             return default
@@ -57,7 +57,7 @@
     raise Refusal(400, "header_invalid", f"{IDEMPOTENT} must be true or false")
 
 
-def _seconds(text: str, default: float) -> float:
+def _parse_seconds(text: str, default: float) -> float:
     if not text:
         return default
     try:
