--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' HTTP interface."""
+"""The HTTP API for callers."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/authentication.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/authentication.py
@@ -1,4 +1,4 @@
-"""Which caller sent a request."""
+"""Authenticates callers by bearer token."""
 
 from collections.abc import Mapping
 
@@ -11,13 +11,13 @@
 
 
 def authenticate(configuration: Configuration, headers: Mapping[str, str]) -> Caller:
-    """Return the caller of the bearer token; raise `Refusal` 401."""
+    """Return the caller that the bearer token belongs to; raises `Refusal` 401."""
     value = headers.get("Authorization", "")
     if not value.startswith(BEARER_PREFIX):
-        raise Refusal(401, "token_missing", "a bearer token is needed")
-    # Tokens are looked up by digest: neither the text nor the timing of a
-    # comparison can give a token away.
+        raise Refusal(401, "token_missing", "a bearer token is required")
+    # Tokens are looked up by digest, so neither the stored text nor the timing of a
+    # comparison can reveal one.
     caller = configuration.callers_by_token.get(sha256_hex(value[len(BEARER_PREFIX) :].encode()))
     if caller is None:
-        raise Refusal(401, "token_unknown", "the token belongs to no listed caller")
+        raise Refusal(401, "token_unknown", "the token belongs to no configured caller")
     return caller
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""The web application that serves callers."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -41,7 +41,7 @@
 
 
 class CallersApp:
-    """``/v1/...``, ``/services/...``, ``/readyz`` and ``/healthz``."""
+    """Serves ``/v1/...``, ``/services/...``, ``/readyz`` and ``/healthz``."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         request_id = new_request_id(headers)
         cherrypy.response.headers[REQUEST_ID] = request_id
         if self._readiness.draining:
-            # A kept connection could carry a next request just when the port closes.
+            # A persistent connection could carry the next request just as the port closes.
             cherrypy.response.headers["Connection"] = "close"
         with self._tracing.entry_span("request", headers) as span:
             cherrypy.response.headers.update(trace_headers(span))
@@ -92,7 +92,7 @@
     ) -> bytes | Iterator[bytes]:
         self._readiness.enter()
         try:
-            answer = self._dispatch(segments, request_id, span)
+            response = self._dispatch(segments, request_id, span)
         except Refusal as refusal:
             self._finish(span)
             return self._refuse(refusal, request_id)
@@ -102,15 +102,17 @@
         except BaseException:
             self._finish(span)
             raise
-        if isinstance(answer, bytes):
+        if isinstance(response, bytes):
             self._finish(span)
-            return answer
+            return response
         cherrypy.response.stream = True
-        return self._stream_to_end(answer, request_id, span)
+        return self._stream_to_end(response, request_id, span)
 
-    def _stream_to_end(self, body: Iterator[bytes], request_id: str, span: Span) -> Iterator[bytes]:
-        # An error raised in mid-stream leaves the chunked body without its
-        # terminator: the caller sees a cut, never a short answer that looks whole.
+    def _stream_to_end(
+        self, body: Iterator[bytes], request_id: str, span: Span
+    ) -> Iterator[bytes]:
+        # An error raised in mid-stream leaves the chunked body without its terminator, so
+        # the caller sees a truncated response and never a short one that looks complete.
         try:
             yield from body
         except UpstreamError as error:
@@ -133,7 +135,9 @@
     ) -> bytes | Iterator[bytes]:
         accepted = self._current.get()
         if accepted is None:
-            raise Refusal(503, "no_configuration", "none is known yet", retry_after_seconds=1.0)
+            raise Refusal(
+                503, "no_configuration", "no configuration is known yet", retry_after_seconds=1.0
+            )
         configuration = accepted.configuration
         caller = authenticate(configuration, cherrypy.request.headers)
         match cherrypy.request.method, segments:
@@ -178,7 +182,9 @@
             raise
         return self._gate.watch(ticket, events)
 
-    def _run_once(self, request: GenerationRequest, raw: bytes, span: Span) -> Iterator[StreamEvent]:
+    def _run_once(
+        self, request: GenerationRequest, raw: bytes, span: Span
+    ) -> Iterator[StreamEvent]:
         if request.idempotent or not request.idempotency_key:
             return self._generation.run(request, span)
         return self._once.stream(
@@ -188,7 +194,9 @@
             lambda: self._generation.run(request, span),
         )
 
-    def _collect(self, response_format: ResponseFormat, request: Any, events: Iterator[Any]) -> bytes:
+    def _collect(
+        self, response_format: ResponseFormat, request: Any, events: Iterator[Any]
+    ) -> bytes:
         try:
             return whole_body(response_format, request, events)
         except UpstreamError as error:
@@ -225,10 +233,10 @@
         )
         arrival = Arrival(caller.name, caller.share, service.priority, "", 1, request.deadline_at)
         with self._gate.hold(arrival):
-            answer = self._plain.run(request, span)
-        cherrypy.response.status = answer.status
-        cherrypy.response.headers["Content-Type"] = answer.content_type
-        return answer.body
+            response = self._plain.run(request, span)
+        cherrypy.response.status = response.status
+        cherrypy.response.headers["Content-Type"] = response.content_type
+        return response.body
 
 
 def _arrival(request: GenerationRequest, caller: Caller) -> Arrival:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/generation_request.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/generation_request.py
@@ -1,4 +1,4 @@
-"""Checks the body of a completion request and types it."""
+"""Validates the body of a completion request and builds the typed request."""
 
 from collections.abc import Mapping
 
@@ -23,7 +23,7 @@
 
 
 class CompletionBody(msgspec.Struct):
-    """What is read of a body; the other fields of the interface are ignored."""
+    """The fields that are read from a body; other fields of the API are ignored."""
 
     model: str
     prompt: str | None = None
@@ -33,13 +33,13 @@
 
 
 def parse_body(data: bytes, *, chat: bool) -> CompletionBody:
-    """Return the checked body; raise `Refusal` 400 with the JSON place."""
+    """Return the validated body; raises `Refusal` 400 with the JSON path of the fault."""
     try:
         body = msgspec.json.decode(data, type=CompletionBody)
     except msgspec.MsgspecError as error:
         raise Refusal(400, "body_invalid", str(error)) from None
     if chat and not body.messages:
-        raise Refusal(400, "body_invalid", "`$.messages` must hold at least one message")
+        raise Refusal(400, "body_invalid", "`$.messages` must contain at least one message")
     if not chat and body.prompt is None:
         raise Refusal(400, "body_invalid", "`$.prompt` is missing")
     if not 1 <= body.max_tokens <= MAX_TOKENS_LIMIT:
@@ -54,7 +54,7 @@
     headers: Mapping[str, str],
     request_id: str,
 ) -> GenerationRequest:
-    """Return the typed request; raise `Refusal` when ``caller`` may not make it."""
+    """Return the typed request; raises `Refusal` if ``caller`` is not allowed to make it."""
     unit = _find_unit(body.model, configuration, caller)
     service = _choose_service(configuration, caller, unit, headers.get(SERVICE_HEADER, ""))
     deadline = min(service.deadline_seconds, caller.deadline_seconds)
@@ -78,8 +78,8 @@
 def _find_unit(text: str, configuration: Configuration, caller: Caller) -> Unit:
     name, _, adapter = text.partition(":")
     model = configuration.models_by_name.get(name)
-    # A model of other callers is answered like an unknown one: a caller learns
-    # nothing of what is not listed for it.
+    # A model that only other callers may use is refused like an unknown one, so that a
+    # caller learns nothing about it.
     if model is None or not configuration.model_services(caller.name, name):
         raise Refusal(404, "model_unknown", f"no model {text!r}")
     if adapter and adapter not in model.adapters_by_name:
@@ -87,11 +87,13 @@
     return Unit(name, model.serving, adapter)
 
 
-def _choose_service(configuration: Configuration, caller: Caller, unit: Unit, named: str) -> ModelService:
+def _choose_service(
+    configuration: Configuration, caller: Caller, unit: Unit, named: str
+) -> ModelService:
     services = configuration.model_services(caller.name, unit.model)
     usable = [s for s in services if _offers(s, unit) and named in ("", s.name)]
     if not usable:
-        raise Refusal(404, "model_unknown", f"no service offers {unit.model!r} in this way")
+        raise Refusal(404, "model_unknown", f"no matching service offers {unit.model!r}")
     return usable[0]
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/problem.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/problem.py
@@ -1,4 +1,4 @@
-"""Refusals as problem documents (RFC 9457)."""
+"""Encodes refusals as problem documents (RFC 9457)."""
 
 import math
 
@@ -15,13 +15,13 @@
 
 
 def body_refusal(error: cherrypy.HTTPError) -> Refusal:
-    """Return the refusal of a request whose body could not be read."""
+    """Return the refusal for a request whose body could not be read."""
     code = CODES_BY_STATUS.get(error.code, "body_invalid")
     return Refusal(error.code, code, str(error.args[-1]))
 
 
 def problem_response(refusal: Refusal, request_id: str) -> bytes:
-    """Set status and headers of the response and return the problem document."""
+    """Set the status and headers of the response and return the problem document."""
     response = cherrypy.response
     response.status = refusal.status
     response.headers["Content-Type"] = PROBLEM_TYPE
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/request_headers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/request_headers.py
@@ -1,4 +1,4 @@
-"""Headers of callers that steer a request."""
+"""Parses the headers by which callers control a request."""
 
 import math
 import time
@@ -16,7 +16,7 @@
 
 
 class RequestHeaders(NamedTuple):
-    """The steering headers of one request; ``deadline_at`` is monotonic."""
+    """The control headers of one request; ``deadline_at`` is monotonic."""
 
     request_id: str
     idempotency_key: str
@@ -25,7 +25,7 @@
 
 
 def new_request_id(headers: Mapping[str, str]) -> str:
-    """Return the caller's request id, or a new one."""
+    """Return the caller's request id, or a new one if it is missing or unusable."""
     given = headers.get(REQUEST_ID, "")
     usable = given.isprintable() and 0 < len(given) <= MAX_HEADER_CHARACTERS
     return given if usable else uuid.uuid4().hex
@@ -34,7 +34,11 @@
 def parse_headers(
     headers: Mapping[str, str], request_id: str, deadline_seconds: float, *, idempotent: bool
 ) -> RequestHeaders:
-    """Return the steering headers over the defaults given; raise `Refusal` 400."""
+    """Return the control headers; raises `Refusal` 400, or 408 if the deadline has passed.
+
+    ``deadline_seconds`` and ``idempotent`` apply where the caller names none; the caller
+    can only shorten the deadline.
+    """
     key = headers.get(IDEMPOTENCY_KEY, "")
     if len(key) > MAX_HEADER_CHARACTERS:
         raise Refusal(400, "header_invalid", f"{IDEMPOTENCY_KEY} is too long")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/response_format.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/response_format.py
@@ -1,4 +1,4 @@
-"""Answers in the response_format of the OpenAI interface."""
+"""Encodes responses in the formats of the OpenAI API."""
 
 import time
 from collections.abc import Iterator
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Completion:
-    """``/v1/completions``."""
+    """The format of ``/v1/completions``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Chat:
-    """``/v1/chat/completions``."""
+    """The format of ``/v1/chat/completions``."""
 
 
 ResponseFormat = Completion | Chat
@@ -32,10 +32,10 @@
 def stream_body(
     response_format: ResponseFormat, request: GenerationRequest, events: Iterator[StreamEvent]
 ) -> Iterator[bytes]:
-    """Yield server-sent events; each bears the index of its token as its id.
+    """Yield server-sent events; the id of each is the position of its token.
 
-    The frame around the text is the same for every token, so it is encoded
-    once a stream: this loop runs for each token.
+    The JSON around the text is the same for every token, so it is encoded once per
+    stream to keep the work per token small.
     """
     head, tail = _chunk_frame(response_format, request)
     for event in events:
@@ -52,8 +52,10 @@
     yield DONE
 
 
-def whole_body(response_format: ResponseFormat, request: GenerationRequest, events: Iterator[StreamEvent]) -> bytes:
-    """Return the answer as one JSON document; raise `StreamBroken` when it is cut."""
+def whole_body(
+    response_format: ResponseFormat, request: GenerationRequest, events: Iterator[StreamEvent]
+) -> bytes:
+    """Return the response as one JSON document; raises `StreamBroken` if it is cut."""
     texts: list[str] = []
     count = 0
     for event in events:
@@ -63,9 +65,12 @@
             case EndEvent(total=total):
                 count = total
     usage = {"completion_tokens": count}
-    choice = {"index": 0, "finish_reason": "stop"} | _whole_choice(response_format, "".join(texts))
+    choice = {"index": 0, "finish_reason": "stop"} | _whole_choice(
+        response_format, "".join(texts)
+    )
     return msgspec.json.encode(
-        _common_fields(response_format, request, _WHOLE_OBJECT[type(response_format)]) | {"choices": [choice], "usage": usage}
+        _common_fields(response_format, request, _WHOLE_OBJECT[type(response_format)])
+        | {"choices": [choice], "usage": usage}
     )
 
 
@@ -74,9 +79,16 @@
 _TEXT_PLACEHOLDER = "\x00"
 
 
-def _chunk_frame(response_format: ResponseFormat, request: GenerationRequest) -> tuple[bytes, bytes]:
-    choice = {"index": 0, "finish_reason": None} | _chunk_choice(response_format, _TEXT_PLACEHOLDER)
-    value = _common_fields(response_format, request, _CHUNK_OBJECT[type(response_format)]) | {"choices": [choice]}
+def _chunk_frame(
+    response_format: ResponseFormat, request: GenerationRequest
+) -> tuple[bytes, bytes]:
+    """Return the encoded chunk before and after its text."""
+    choice = {"index": 0, "finish_reason": None} | _chunk_choice(
+        response_format, _TEXT_PLACEHOLDER
+    )
+    value = _common_fields(response_format, request, _CHUNK_OBJECT[type(response_format)]) | {
+        "choices": [choice]
+    }
     head, _, tail = msgspec.json.encode(value).partition(msgspec.json.encode(_TEXT_PLACEHOLDER))
     return head, tail
 
@@ -84,11 +96,14 @@
 def _last_chunk(response_format: ResponseFormat, request: GenerationRequest) -> bytes:
     choice = {"index": 0, "finish_reason": "stop"} | _chunk_choice(response_format, "")
     return msgspec.json.encode(
-        _common_fields(response_format, request, _CHUNK_OBJECT[type(response_format)]) | {"choices": [choice]}
+        _common_fields(response_format, request, _CHUNK_OBJECT[type(response_format)])
+        | {"choices": [choice]}
     )
 
 
-def _common_fields(response_format: ResponseFormat, request: GenerationRequest, kind: str) -> dict[str, object]:
+def _common_fields(
+    response_format: ResponseFormat, request: GenerationRequest, kind: str
+) -> dict[str, object]:
     return {
         "id": request.request_id,
         "object": kind,
