--- a/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
@@ -34,7 +34,7 @@
 
 
 class Received(NamedTuple):
-    """One request as an upstream got it."""
+    """One request as an upstream received it."""
 
     upstream: str
     head: str
@@ -49,7 +49,10 @@
 
 
 class ScriptedUpstream:
-    """Answers each request with the next script: a function of connection and request."""
+    """Serves each request with the next script, a function of connection and request.
+
+    The last script serves all further requests; one that returns False closes the connection.
+    """
 
     def __init__(self, name, log, scripts):
         self.name = name
@@ -70,21 +73,21 @@
 
     def _serve(self, connection):
         stream = connection.makefile("rb")
-        # A connection that the other side gives up is reset.
+        # A connection that the other side discards is reset.
         with connection, contextlib.suppress(ConnectionResetError):
             while head := _read_head(stream):
                 length = int(Received("", head, b"").header("Content-Length") or 0)
                 received = Received(self.name, head, stream.read(length))
                 self.log.append(received)
                 script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
-                # The other side may close in the middle of an answer.
+                # The other side may close in the middle of a response.
                 with contextlib.suppress(BrokenPipeError, ConnectionResetError):
                     if script(connection, received) is not False:
                         continue
                 return
 
     def close(self):
-        # A close alone would let the thread that waits take one more connection.
+        # close() alone would let the waiting thread accept one more connection.
         with contextlib.suppress(OSError):
             self._server.shutdown(socket.SHUT_RDWR)
         self._server.close()
@@ -98,18 +101,18 @@
 
 
 def head(received, status="200 OK", *lines, signed=True):
-    """The head of an answer to ``received``."""
-    answer = [
+    """Return the head of a response to ``received``."""
+    response = [
         f"HTTP/1.1 {status}",
         f"X-Redwingscale-Request-Id: {received.header('X-Redwingscale-Request-Id')}",
     ]
     if signed:
-        answer.append("X-Redwingscale-Response-Seal: seal")
-    return "\r\n".join([*answer, *lines, "", ""]).encode()
+        response.append("X-Redwingscale-Response-Seal: seal")
+    return "\r\n".join([*response, *lines, "", ""]).encode()
 
 
 def sized(body, status="200 OK", signed=True):
-    """A script: a whole answer with a length."""
+    """Return a script that sends a complete response with a length."""
 
     def script(connection, received):
         length = f"Content-Length: {len(body)}"
@@ -119,7 +122,7 @@
 
 
 def not_run(connection, received):
-    """A script: the upstream is full."""
+    """Script of a full upstream, which has not run the request."""
     connection.sendall(
         head(
             received,
@@ -132,12 +135,16 @@
 
 
 def breaks(connection, received):
-    """A script: the upstream dies without an answer."""
+    """Script of an upstream that crashes without a response."""
     return False
 
 
 def events(*numbers, then="end", gap=0.0):
-    """A script: a stream of events; ``then`` it ends, breaks off or says no more."""
+    """Return a script that sends a stream of events.
+
+    ``then`` is how it stops: "end", "break" (the connection closes), "inside" (the same,
+    in the middle of an event) or "silent".
+    """
 
     def script(connection, received):
         connection.sendall(
@@ -181,8 +188,8 @@
 ]  # fmt: skip
 
 
-class _Outcomes:
-    """In place of metrics."""
+class _OutcomeLog:
+    """Replaces the metrics; collects the outcomes of requests."""
 
     def __init__(self, ended):
         self._ended = ended
@@ -236,7 +243,7 @@
         )
         handler = RequestHandler(
             self.routes, exchange, PlainRelay(parts, self.changes), StreamRelay(parts, wait, fleet.prefixes),
-            self.local_demand, budget, self.open_requests, _Outcomes(self.ended),
+            self.local_demand, budget, self.open_requests, _OutcomeLog(self.ended),
             self.limiter,
         )  # fmt: skip
         self.server = IngressServer(
@@ -248,17 +255,17 @@
         self.server.start()
 
     def configure(self, version, keys=None):
-        """Put a version into force; ``keys`` are those of callers, None for none needed."""
+        """Apply a configuration version; ``keys`` are those of callers, None if none is needed."""
         self.routes.offer(RouteTable(version, ROUTES, {}, IngressLimits(1, 1, 1.0, 1.0), keys))
 
     def add(self, service, *scripts, models=("m",)):
-        """Start an upstream; in a nearer failure domain than those added after it."""
+        """Start an upstream; the first one is in the failure domain of the instance."""
         name = f"u{len(self.upstreams)}"
         scripted = ScriptedUpstream(name, self.log, scripts)
         domain = "z1" if not self.upstreams else "z2"
-        held = {m: ResidentModel(m, 1, frozenset()) for m in models} if service == "llm" else {}
+        resident = {m: ResidentModel(m, 1, frozenset()) for m in models} if service == "llm" else {}
         listed = Upstream(
-            name, service, "127.0.0.1", scripted.port, domain, 64, False, None, held,
+            name, service, "127.0.0.1", scripted.port, domain, 64, False, None, resident,
             frozenset(), frozenset(),
         )  # fmt: skip
         self.upstreams.append((scripted, listed))
@@ -285,9 +292,9 @@
         caller.sendall("\r\n".join([*lines, "", ""]).encode() + body)
         return caller
 
-    def ask(self, path, body=b"", **options):
-        """Send a request and return its answer, read by the rules of the protocol."""
-        return read_answer(self.send(path, body, **options))
+    def request(self, path, body=b"", **options):
+        """Send a request and return the response, parsed strictly by its framing."""
+        return read_response(self.send(path, body, **options))
 
     def stop(self):
         self.server.stop()
@@ -295,14 +302,14 @@
             scripted.close()
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     status: int
     headers: dict
     body: bytes
     whole: bool
 
 
-def read_answer(caller):
+def read_response(caller):
     stream = caller.makefile("rb")
     first, *lines = _read_head(stream).split("\r\n")
     headers = dict(line.split(": ", 1) for line in lines)
@@ -310,20 +317,20 @@
     if "Content-Length" in headers:
         length = int(headers["Content-Length"])
         body = stream.read(length)
-        return Answer(status, headers, body, len(body) == length)
+        return Response(status, headers, body, len(body) == length)
     body = b""
     while size := stream.readline().strip():
         if size == b"0":
             stream.readline()
-            return Answer(status, headers, body, True)
+            return Response(status, headers, body, True)
         body += stream.read(int(size, 16))
         stream.readline()
-    return Answer(status, headers, body, False)
+    return Response(status, headers, body, False)
 
 
 @pytest.fixture
 def world():
-    """A request path; `World.ended` takes the outcomes that metrics would count."""
+    """A started request path; `World.ended` lists the outcomes of its requests."""
     made = World()
     made.start()
     yield made
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_keys.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_keys.py
@@ -1,4 +1,4 @@
-"""Requests are let in by the key that they bear."""
+"""Requests are authenticated by the key that they carry."""
 
 import time
 
@@ -7,14 +7,14 @@
 from redwingscale_daemon._internal.workspaces.keys import WorkspaceKeys, key_digest
 from redwingscale_daemon._internal.workspaces.workspace import UseLimit, UseUnit, Workspace
 
-from .conftest import WAIT_SECONDS, events, read_answer, sized
+from .conftest import WAIT_SECONDS, events, read_response, sized
 
 KEY, OTHER_KEY = "k2b7ex5wa5", "z9m3qq1nn0"
 BEARER = f"Authorization: Bearer {KEY}"
 
 
 def keys(*names, priority=1):
-    """A table of keys: each is that of the workspace at its place."""
+    """Return the keys of the named workspaces: KEY for the first, OTHER_KEY for the second."""
     workspaces = [Workspace(name, priority, None) for name in names]
     digests = map(key_digest, (KEY, OTHER_KEY))
     return WorkspaceKeys(dict(zip(digests, workspaces, strict=False)))
@@ -28,10 +28,10 @@
     return world
 
 
-def test_workspace_of_the_key_is_told_and_the_key_is_not(keyed):
-    """Guards against an upstream that sees a caller's key or a name the caller made up."""
+def test_upstream_receives_the_workspace_of_the_key_and_not_the_key(keyed):
+    """Guards against passing on a caller's key or a workspace name that the caller forged."""
     forged = "X-Redwingscale-Tenant-Id: bidders"
-    assert keyed.ask("/safe/", headers=(BEARER, forged)).status == 200
+    assert keyed.request("/safe/", headers=(BEARER, forged)).status == 200
     received = keyed.log[0]
     assert received.header("X-Redwingscale-Tenant-Id") == "clerks"
     assert received.head.count("X-Redwingscale-Tenant-Id") == 1
@@ -49,31 +49,31 @@
     ],
 )
 def test_unknown_key_is_refused(keyed, header, outcome):
-    """Guards against work for a caller that nobody has let in."""
-    answer = keyed.ask("/safe/", b"body", headers=(header,))
-    assert (answer.status, keyed.ended, keyed.log) == (401, [outcome], [])
-    assert answer.headers["WWW-Authenticate"] == "Bearer"
+    """Guards against work for an unauthenticated caller."""
+    response = keyed.request("/safe/", b"body", headers=(header,))
+    assert (response.status, keyed.ended, keyed.log) == (401, [outcome], [])
+    assert response.headers["WWW-Authenticate"] == "Bearer"
 
 
-def test_refused_before_the_body_is_read(keyed):
-    """Guards against a caller without a key that holds a thread by a slow body."""
+def test_unknown_key_is_refused_before_the_body_is_read(keyed):
+    """Guards against a caller without a key that occupies a thread with a slow body."""
     caller = keyed.connect()
     head = ["POST /safe/ HTTP/1.1", "Host: a.example", "X-Redwingscale-Request-Id: r1"]
     caller.sendall("\r\n".join([*head, "Content-Length: 900000", "", ""]).encode())
-    assert read_answer(caller).status == 401
+    assert read_response(caller).status == 401
 
 
-def test_scheme_is_read_in_any_case(keyed):
-    assert keyed.ask("/safe/", headers=(f"authorization: bearer {KEY}",)).status == 200
+def test_scheme_is_case_insensitive(keyed):
+    assert keyed.request("/safe/", headers=(f"authorization: bearer {KEY}",)).status == 200
 
 
 def test_public_route_needs_no_key(keyed):
-    assert keyed.ask("/public/").status == 200
+    assert keyed.request("/public/").status == 200
     assert keyed.log[0].header("X-Redwingscale-Tenant-Id") is None
 
 
-def test_public_route_tells_the_workspace_of_a_known_key(keyed):
-    assert keyed.ask("/public/", headers=(BEARER,)).status == 200
+def test_public_route_passes_on_the_workspace_of_a_known_key(keyed):
+    assert keyed.request("/public/", headers=(BEARER,)).status == 200
     assert keyed.log[0].header("X-Redwingscale-Tenant-Id") == "clerks"
     assert KEY not in keyed.log[0].head
 
@@ -81,19 +81,19 @@
 def test_withdrawn_key_is_refused_on_an_open_connection(keyed):
     """Guards against a connection that outlasts the key it was opened with."""
     caller = keyed.connect()
-    assert keyed.ask("/safe/", caller=caller, headers=(BEARER,)).status == 200
+    assert keyed.request("/safe/", caller=caller, headers=(BEARER,)).status == 200
     keyed.configure(3, WorkspaceKeys({}))
-    assert keyed.ask("/safe/", caller=caller, headers=(BEARER,)).status == 401
+    assert keyed.request("/safe/", caller=caller, headers=(BEARER,)).status == 401
 
 
-def test_withdrawn_key_never_comes_back_by_an_older_version(keyed):
-    """Guards against a late read that puts a withdrawn key into force again."""
+def test_older_version_does_not_restore_a_withdrawn_key(keyed):
+    """Guards against a late read that makes a withdrawn key valid again."""
     keyed.configure(4, WorkspaceKeys({}))
     keyed.configure(3, keys("clerks"))
-    assert keyed.ask("/safe/", headers=(BEARER,)).status == 401
+    assert keyed.request("/safe/", headers=(BEARER,)).status == 401
 
 
-def test_key_withdrawn_while_its_request_waits_for_a_holder(world):
+def test_key_withdrawn_while_its_request_waits_for_a_holder_is_refused(world):
     """Guards against a run that begins seconds after its key was withdrawn."""
     world.configure(2, keys("clerks"))
     world.add("llm", events(1, 2), models=())
@@ -101,48 +101,48 @@
     _until(lambda: world.local_demand.drain())
     world.configure(3, WorkspaceKeys({}))
     scripted, listed = world.upstreams[0]
-    held = {"m": ResidentModel("m", 1, frozenset())}
-    world.directory.replace([listed._replace(models_by_name=held)])
+    resident = {"m": ResidentModel("m", 1, frozenset())}
+    world.directory.replace([listed._replace(models_by_name=resident)])
     world.changes.notify()
-    assert read_answer(caller).status == 401
+    assert read_response(caller).status == 401
     assert world.log == []
 
 
 @pytest.mark.parametrize(("key", "level"), [(KEY, "2"), (OTHER_KEY, "7")])
-def test_priority_of_the_workspace_goes_before_that_of_the_route(world, key, level):
+def test_priority_of_the_workspace_precedes_that_of_the_route(world, key, level):
     first, second = Workspace("a", 0, None), Workspace("b", 4, None)
     digests = {key_digest(KEY): first, key_digest(OTHER_KEY): second}
     world.configure(2, WorkspaceKeys(digests))
     world.add("llm", events(1))
-    world.ask("/stream/", model="m", headers=(f"Authorization: Bearer {key}",))
+    world.request("/stream/", model="m", headers=(f"Authorization: Bearer {key}",))
     assert world.log[0].header("X-Redwingscale-Request-Priority") == level
 
 
-def test_beyond_its_limit_a_workspace_is_told_when_to_come_back(world):
-    """Guards against a flood of one workspace that takes the places of the others."""
+def test_workspace_beyond_its_limit_is_refused_with_a_retry_time(world):
+    """Guards against one workspace whose flood of requests crowds out the others."""
     limit = UseLimit(UseUnit.TOKENS, 0.01, 120.0, 60.0)
     world.configure(2, WorkspaceKeys({key_digest(KEY): Workspace("clerks", 1, limit)}))
     world.add("plain", sized(b"ok"))
     world.limiter.receive([])
-    answers = [world.ask("/once/", headers=(BEARER,)) for _ in range(3)]
-    assert [answer.status for answer in answers] == [200, 200, 429]
-    assert float(answers[2].headers["Retry-After"]) > 0
-    assert b"not_run" in answers[2].body
+    responses = [world.request("/once/", headers=(BEARER,)) for _ in range(3)]
+    assert [response.status for response in responses] == [200, 200, 429]
+    assert float(responses[2].headers["Retry-After"]) > 0
+    assert b"not_run" in responses[2].body
     assert len(world.log) == 2
 
 
-def test_request_that_has_not_run_gives_its_tokens_back(world):
-    """Guards against a limit that is used up by refusals."""
+def test_request_that_has_not_run_returns_its_tokens(world):
+    """Guards against a limit that is used up by refused requests."""
     limit = UseLimit(UseUnit.TOKENS, 0.01, 120.0, 60.0)
     world.configure(2, WorkspaceKeys({key_digest(KEY): Workspace("clerks", 1, limit)}))
     world.limiter.receive([])
-    answers = [world.ask("/once/", headers=(BEARER,)).status for _ in range(5)]
-    assert answers == [503] * 5
+    responses = [world.request("/once/", headers=(BEARER,)).status for _ in range(5)]
+    assert responses == [503] * 5
 
 
 def test_key_passes_through_where_none_is_needed(world):
     world.add("plain", sized(b"ok"))
-    world.ask("/safe/", headers=(BEARER,))
+    world.request("/safe/", headers=(BEARER,))
     assert world.log[0].header("Authorization") == f"Bearer {KEY}"
 
 
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
@@ -1,4 +1,4 @@
-"""A request is refused for overload only where the best of all holders is too late."""
+"""A request is refused for overload only if the best of all holders is too late."""
 
 import time
 from types import SimpleNamespace
@@ -19,13 +19,13 @@
 
 
 class Holders:
-    """What is found among the holders that were drawn, and among all."""
+    """Replaces the chooser: the best of the sampled holders, and the best of all."""
 
-    def __init__(self, drawn, best):
-        self.drawn, self.best = drawn, best
+    def __init__(self, sampled, best):
+        self.sampled, self.best = sampled, best
 
-    def choose_holder(self, service, prompt, tried, *, compare_all=False):
-        return self.best if compare_all else self.drawn
+    def for_prompt(self, service, prompt, tried, *, compare_all=False):
+        return self.best if compare_all else self.sampled
 
 
 @pytest.fixture
@@ -39,25 +39,25 @@
     )
 
 
-def candidate(call, drawn, best, local_demand):
-    wait = HolderWait(Holders(drawn, best), None, None, local_demand, None, None)
+def candidate(call, sampled, best, local_demand):
+    wait = HolderWait(Holders(sampled, best), None, None, local_demand, None, None)
     return wait.choose_holder(call, PROMPT)
 
 
-def test_a_calm_holder_that_was_not_drawn_takes_the_request(call):
-    # Both holders that were drawn had seconds of others' prompts before them, and the
-    # request was refused though ten more held its model and were calm.
+def test_lightly_loaded_holder_outside_the_sample_gets_the_request(call):
+    # Guards against a refusal because the sampled holders have seconds of queue, while
+    # others with the model resident are lightly loaded.
     local_demand = LocalDemand()
     found = candidate(call, holder("u0", 3000.0), holder("u7", 100.0), local_demand)
     assert found.upstream.id == "u7"
     assert local_demand.drain() == []
 
 
-def test_where_all_holders_are_too_late_it_is_refused_at_once(call):
+def test_request_is_refused_at_once_if_all_holders_are_too_late(call):
     local_demand = LocalDemand()
     with pytest.raises(Refusal) as raised:
         candidate(call, holder("u0", 5000.0), holder("u7", 3000.0), local_demand)
     assert (raised.value.status, raised.value.code) == (503, "overloaded")
-    # When the best of all has caught up, not the one that was drawn.
+    # The time until the best of all has caught up, not the sampled one.
     assert raised.value.retry_after_seconds == pytest.approx(1.4, abs=0.2)
     assert [entry.overloads for entry in local_demand.drain()] == [1]
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_plain_requests.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_plain_requests.py
@@ -1,4 +1,4 @@
-"""Requests to plain services: byte for byte, at most once where that is asked for."""
+"""Requests to plain services pass byte for byte, and run at most once if required."""
 
 import time
 
@@ -7,16 +7,16 @@
 from .conftest import breaks, head, not_run, sized
 
 
-def test_request_and_answer_pass_byte_for_byte(world):
+def test_request_and_response_pass_byte_for_byte(world):
     world.add("plain", sized(b"answer"))
-    answer = world.ask("/safe/a%2fb//c?x=%7e&x=1", b"\x00body", headers=("X-Own: 1",))
+    response = world.request("/safe/a%2fb//c?x=%7e&x=1", b"\x00body", headers=("X-Own: 1",))
     (received,) = world.log
     assert received.head.startswith("POST /safe/a%2fb//c?x=%7e&x=1 HTTP/1.1")
     assert received.body == b"\x00body"
     assert received.header("X-Own") == "1"
     assert received.header("X-Redwingscale-Expect-Instance") == "u0"
-    assert (answer.status, answer.body, answer.whole) == (200, b"answer", True)
-    assert answer.headers["X-Redwingscale-Response-Seal"] == "seal"
+    assert (response.status, response.body, response.whole) == (200, b"answer", True)
+    assert response.headers["X-Redwingscale-Response-Seal"] == "seal"
 
 
 def test_chunked_request_is_sent_with_its_length(world):
@@ -30,10 +30,10 @@
     assert world.log[0].body == b"abcde"
 
 
-def test_connections_to_upstreams_are_kept(world):
+def test_connections_to_upstreams_are_reused(world):
     world.add("plain", sized(b"ok"))
     for _ in range(3):
-        assert world.ask("/safe/").status == 200
+        assert world.request("/safe/").status == 200
     assert world.pool.opened == 1
 
 
@@ -41,37 +41,37 @@
 def test_idempotent_request_is_sent_to_another_upstream(world, failure):
     world.add("plain", failure)
     world.add("plain", sized(b"ok"))
-    assert world.ask("/safe/").body == b"ok"
+    assert world.request("/safe/").body == b"ok"
     assert [received.upstream for received in world.log] == ["u0", "u1"]
 
 
 def test_request_that_may_have_run_is_not_sent_again(world):
-    # The register's upstream dies after it has read an entry. Sent again, the
-    # entry could stand there twice; and nobody may say that it has not run.
+    # The upstream crashes after it has read the request. Sent again, it could run twice;
+    # and the reply must not state that it has not run.
     world.add("plain", breaks)
     world.add("plain", sized(b"ok"))
-    answer = world.ask("/once/")
-    assert answer.status == 502
-    assert "Retry-After" not in answer.headers
+    response = world.request("/once/")
+    assert response.status == 502
+    assert "Retry-After" not in response.headers
     assert len(world.log) == 1
 
 
 def test_request_that_was_not_run_is_sent_to_another_upstream(world):
     world.add("plain", not_run)
     world.add("plain", sized(b"ok"))
-    assert world.ask("/once/").body == b"ok"
+    assert world.request("/once/").body == b"ok"
 
 
-def test_refusal_says_not_run_and_when_to_come_back(world):
+def test_refusal_of_a_request_that_has_not_run_names_a_retry_time(world):
     world.add("plain", not_run)
-    answer = world.ask("/once/")
-    assert answer.status == 503
-    assert float(answer.headers["Retry-After"]) > 0
+    response = world.request("/once/")
+    assert response.status == 503
+    assert float(response.headers["Retry-After"]) > 0
 
 
-def test_own_answer_follows_a_late_one(world):
-    # An upstream answers an earlier request a second time, just where the answer
-    # to the next one is due: the caller would get another caller's answer.
+def test_late_response_to_an_earlier_request_is_skipped(world):
+    # An upstream sends a second response to an earlier request where the response to the
+    # next one is due. Guards against giving a caller the response to another caller.
     def twice(connection, received):
         sized(b"first")(connection, received)
         time.sleep(0.05)
@@ -82,8 +82,8 @@
         sized(b"second")(connection, received)
 
     world.add("plain", twice, late)
-    assert world.ask("/once/").body == b"first"
-    assert world.ask("/once/").body == b"second"
+    assert world.request("/once/").body == b"first"
+    assert world.request("/once/").body == b"second"
 
 
 def test_extra_bytes_end_the_connection(world):
@@ -92,46 +92,46 @@
         connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad")
 
     world.add("plain", extra, sized(b"own"))
-    assert world.ask("/once/").body == b"ok"
+    assert world.request("/once/").body == b"ok"
     time.sleep(0.05)
-    assert world.ask("/once/").body == b"own"
+    assert world.request("/once/").body == b"own"
     assert world.pool.opened == 2
 
 
-def test_success_without_signature_is_no_answer(world):
+def test_success_without_signature_is_not_passed_on(world):
     world.add("plain", sized(b"forged", signed=False))
-    assert world.ask("/once/").status == 502
+    assert world.request("/once/").status == 502
 
 
-def test_answer_that_breaks_off_is_no_answer(world):
+def test_response_that_breaks_off_is_not_passed_on(world):
     def short(connection, received):
         connection.sendall(head(received, "200 OK", "Content-Length: 10") + b"half")
         return False
 
     world.add("plain", short)
-    assert world.ask("/once/").status == 502
+    assert world.request("/once/").status == 502
 
 
-def test_answer_without_a_length_ends_with_its_connection(world):
+def test_response_without_a_length_ends_with_its_connection(world):
     def unframed(connection, received):
         connection.sendall(head(received) + b"all of it")
         return False
 
     world.add("plain", unframed)
-    assert world.ask("/once/").body == b"all of it"
+    assert world.request("/once/").body == b"all of it"
 
 
-def test_time_limit_is_kept_while_the_upstream_is_silent(world):
+def test_time_limit_applies_while_the_upstream_is_silent(world):
     world.add("plain", lambda connection, received: time.sleep(2.0))
     started = time.monotonic()
-    assert world.ask("/brief/").status == 504
+    assert world.request("/brief/").status == 504
     # Far below the upstream's two seconds, far above the limit of 0.3.
     assert time.monotonic() - started < 1.5
 
 
-def test_work_ends_when_the_caller_leaves(world):
-    # A caller gives up while the upstream still works, and has sent nothing: a
-    # thread that only reads the upstream would let it work on for nobody.
+def test_upstream_connection_ends_when_the_caller_disconnects(world):
+    # A caller disconnects while the upstream works and has sent nothing. A thread that
+    # only reads the upstream would let it go on working for nobody.
     seen = []
 
     def waits(connection, received):
@@ -151,7 +151,7 @@
 
 
 def test_unknown_route_and_missing_id(world):
-    assert world.ask("/nowhere/").status == 404
+    assert world.request("/nowhere/").status == 404
     caller = world.connect()
     caller.sendall(b"GET /safe/ HTTP/1.1\r\nHost: a.example\r\n\r\n")
     assert b" 400 " in caller.recv(1000)
@@ -169,38 +169,38 @@
     assert world.log == []
 
 
-def test_draining_instance_answers_and_closes(world):
+def test_draining_instance_serves_and_closes(world):
     world.add("plain", sized(b"ok"))
     world.open_requests.drain(time.monotonic() + 5.0)
-    answer = world.ask("/safe/")
-    assert (answer.status, answer.headers["Connection"]) == (200, "close")
+    response = world.request("/safe/")
+    assert (response.status, response.headers["Connection"]) == (200, "close")
 
 
-def test_restarted_upstream_is_not_asked_under_its_former_id(world):
-    # An upstream crashes and is back at once under a new id; the list shows the
-    # former one for some seconds, and every request meant for it is refused.
-    def another(connection, received):
+def test_restarted_upstream_gets_no_request_under_its_former_id(world):
+    # An upstream crashes and restarts at once with a new id. The list shows the former id
+    # for some seconds, and every request sent to it is refused.
+    def misdirected(connection, received):
         head_lines = ("X-Redwingscale-Instance-Id: u9", "Content-Length: 0")
         connection.sendall(head(received, "421 Misdirected", *head_lines, signed=False))
 
-    world.add("plain", another)
+    world.add("plain", misdirected)
     world.add("plain", sized(b"ok"))
     for _ in range(3):
-        assert world.ask("/once/").body == b"ok"
+        assert world.request("/once/").body == b"ok"
     assert [received.upstream for received in world.log] == ["u0", "u1", "u1", "u1"]
 
 
-def test_unreachable_upstream_is_left_for_another(world):
+def test_request_for_an_unreachable_upstream_goes_to_another(world):
     world.add("plain", sized(b"never")).close()
     world.add("plain", sized(b"ok"))
-    assert world.ask("/once/").body == b"ok"
+    assert world.request("/once/").body == b"ok"
 
 
-def test_failure_of_an_upstream_is_delivered_when_no_other_answers(world):
-    # The first upstream fails a lookup, the second one dies: the first one's own
-    # answer is there, and says more than a failure of ours.
+def test_failure_of_an_upstream_is_passed_on_if_no_other_responds(world):
+    # The first upstream fails the request, the second one crashes. The response of the
+    # first tells the caller more than a refusal by this instance.
     world.add("plain", sized(b"why it failed", "500 Failed"))
     world.add("plain", breaks)
-    answer = world.ask("/safe/")
-    assert (answer.status, answer.body) == (500, b"why it failed")
-    assert answer.headers["X-Redwingscale-Response-Seal"] == "seal"
+    response = world.request("/safe/")
+    assert (response.status, response.body) == (500, b"why it failed")
+    assert response.headers["X-Redwingscale-Response-Seal"] == "seal"
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_rate_limits.py
@@ -9,7 +9,7 @@
 
 
 def advertising(rate):
-    """A script: a whole answer that names ``rate``."""
+    """Return a script that sends a complete response with the rate limit ``rate``."""
 
     def script(connection, received):
         lines = ("Content-Length: 2", f"Server-Limit: {rate}")
@@ -23,64 +23,64 @@
     world.changes.notify()
 
 
-def test_limit_that_an_answer_advertises_is_kept_and_passed_on(world):
+def test_limit_in_a_response_is_stored_and_passed_on(world):
     world.add("plain", advertising(2.5))
-    assert world.ask("/safe/").headers["Server-Limit"] == "2.5"
+    assert world.request("/safe/").headers["Server-Limit"] == "2.5"
     assert world.rates.per_second("u0") == 2.5
 
 
 @pytest.mark.parametrize("malformed", ["many", "-1", "nan", ""])
-def test_malformed_limit_is_none(world, malformed):
-    # Guards against a header that takes an upstream out of use for ever.
+def test_malformed_limit_is_ignored(world, malformed):
+    # Guards against a header that takes an upstream out of use forever.
     world.add("plain", advertising(malformed))
-    assert world.ask("/safe/").status == 200
+    assert world.request("/safe/").status == 200
     assert world.rates.per_second("u0") is None
 
 
 def test_request_goes_to_an_upstream_without_a_limit(world):
-    # Guards against requests that wait for an upstream with a limit beside a free one.
+    # Guards against requests that wait for a limited upstream while another one is free.
     world.add("plain", sized(b"first"))
     world.add("plain", sized(b"second"))
-    world.rates.note_limit("u0", 1.0, "answer")
-    assert {world.ask("/safe/").body for _ in range(5)} == {b"second"}
+    world.rates.advertised("u0", 1.0, "answer")
+    assert {world.request("/safe/").body for _ in range(5)} == {b"second"}
 
 
 @pytest.mark.parametrize(("path", "model"), [("/safe/", None), ("/stream/", "m")])
 def test_request_waits_for_its_turn(world, path, model):
-    # Guards against requests that are refused although an upstream with a limit takes them in time.
+    # Guards against refusing requests that a limited upstream accepts in time.
     world.add("plain", sized(b"ok"))
     world.add("llm", events(1, 2))
     for upstream in ("u0", "u1"):
         world.rates.note_limit(upstream, 1.0, "answer")
     issued = threading.Timer(0.3, lambda: [issue(world, key, permits=1) for key in ("u0", "u1")])
     issued.start()
-    assert world.ask(path, model=model).status == 200
+    assert world.request(path, model=model).status == 200
     assert len(world.log) == 1
 
 
 @pytest.mark.parametrize(("path", "model"), [("/safe/", None), ("/stream/", "m")])
 def test_request_behind_a_queue_that_takes_too_long_is_refused_at_once(world, path, model):
-    # Guards against callers that are held until their deadline and then refused.
+    # Guards against requests that wait until their deadline and are then refused.
     world.add("plain", sized(b"ok"))
     world.add("llm", events(1, 2))
     for upstream in ("u0", "u1"):
         world.rates.note_limit(upstream, 1.0, "answer")
         issue(world, upstream, waiting=30)
-    answer = world.ask(path, model=model)
-    assert answer.status == 503
-    assert float(answer.headers["Retry-After"]) == 30.0
-    assert b"upstream_rate_limited" in answer.body
+    response = world.request(path, model=model)
+    assert response.status == 503
+    assert float(response.headers["Retry-After"]) == 30.0
+    assert b"upstream_rate_limited" in response.body
     assert not world.log
 
 
-def test_one_permit_takes_one_request(world):
-    # Guards against two requests that both use what was issued for one.
+def test_one_permit_allows_one_request(world):
+    # Guards against two requests that use the same permit.
     world.add("plain", advertising(1.0))
     world.rates.note_limit("u0", 1.0, "answer")
     issue(world, "u0", permits=1)
     statuses = []
     callers = [
-        threading.Thread(target=lambda: statuses.append(world.ask("/brief/").status))
+        threading.Thread(target=lambda: statuses.append(world.request("/brief/").status))
         for _ in range(4)
     ]
     for caller in callers:
