--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
@@ -81,13 +81,13 @@
         with self._tracing.entry_span("request", headers) as span:
             cherrypy.response.headers.update(trace_headers(span))
             self._metrics.requests.add(1)
-            return self._answer(segments, request_id, span)
+            return self._respond(segments, request_id, span)
 
     def _readiness_response(self) -> bytes:
         reason = self._readiness.reason()
         return json_response({"ready": not reason, "reason": reason}, 503 if reason else 200)
 
-    def _answer(
+    def _respond(
         self, segments: tuple[str, ...], request_id: str, span: Span
     ) -> bytes | Iterator[bytes]:
         self._readiness.enter()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
@@ -46,7 +46,7 @@
     def begin(
         self, request: str, chosen: Candidate, load: Load, backpressure: BackpressureState
     ) -> None:
-        """Count and log an attempt at ``chosen``, with its load and backpressure."""
+        """Count an attempt at ``chosen`` and log what the choice was based on."""
         upstream_id = chosen.upstream.id
         log_event(
             "sent",
@@ -91,7 +91,7 @@
                 return self._take_repeat()
 
     def take_retry_after_error(self, upstream_id: str, reason: str) -> bool:
-        """Record a failure response; return whether to try another upstream."""
+        """Record a failed or unsigned response; return whether to try another upstream."""
         self.history.append(f"{upstream_id}:{reason}")
         return self.count < MAX_ATTEMPTS and self._take_repeat()
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -83,7 +83,7 @@
         with self.gate.waiting(throttled):
             self.demand.begin_wait(call.service, prompt.unit, _max_wait_seconds(call))
             try:
-                return self._wait(call, prompt)
+                return self._wait_for_holder(call, prompt)
             finally:
                 self.demand.end_wait(call.service, prompt.unit)
 
@@ -119,7 +119,7 @@
         self.demand.note_overload(call.service, prompt.unit)
         raise refusal
 
-    def _wait(self, call: Call, prompt: Prompt) -> Candidate:
+    def _wait_for_holder(self, call: Call, prompt: Prompt) -> Candidate:
         started = time.monotonic()
         log_event(
             "waits_for_holder",
@@ -158,7 +158,7 @@
         retry_seconds = min(retry_in, ready_in or NO_HOLDER_RETRY_SECONDS)
         raise final_refusal(call, "upstream_rejects", detail, retry_seconds)
 
-    def _refuse_if_not_in_time(self, call: Call, prompt: Prompt, waited: float) -> None:
+    def _refuse_if_not_in_time(self, call: Call, prompt: Prompt, waited_seconds: float) -> None:
         if (retry_seconds := self.caller_retry_seconds()) is not None:
             # The leader does not receive this instance's demand: the caller should retry at
             # another instance.
@@ -166,14 +166,14 @@
         left = _max_wait_seconds(call)
         ready_in = self.residency.ready_in(str(prompt.unit))
         throttled = self.chooser.throttled_holders(call.service, prompt, call.attempts.tried)
-        if waited > LOAD_ANNOUNCED_SECONDS and (ready_in is None or ready_in > left):
+        if waited_seconds > LOAD_ANNOUNCED_SECONDS and (ready_in is None or ready_in > left):
             self._check_retry_times(call, prompt, throttled, ready_in)
         if ready_in is not None and not throttled:
             too_late = ready_in > left
         elif self.residency.fresh:
             too_late = left <= 0
         else:
-            too_late = waited > NO_UPDATES_WAIT_SECONDS
+            too_late = waited_seconds > NO_UPDATES_WAIT_SECONDS
         if not too_late:
             return
         detail = f"{prompt.unit} is ready in {ready_in} s, {left:.3f} s are left"
