--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
@@ -108,9 +108,7 @@
         cherrypy.response.stream = True
         return self._stream_to_end(response, request_id, span)
 
-    def _stream_to_end(
-        self, body: Iterator[bytes], request_id: str, span: Span
-    ) -> Iterator[bytes]:
+    def _stream_to_end(self, body: Iterator[bytes], request_id: str, span: Span) -> Iterator[bytes]:
         # An error raised in mid-stream leaves the chunked body without its terminator, so
         # the caller sees a truncated response and never a short one that looks complete.
         try:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/response_format.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/response_format.py
@@ -65,9 +65,7 @@
             case EndEvent(total=total):
                 count = total
     usage = {"completion_tokens": count}
-    choice = {"index": 0, "finish_reason": "stop"} | _whole_choice(
-        response_format, "".join(texts)
-    )
+    choice = {"index": 0, "finish_reason": "stop"} | _whole_choice(response_format, "".join(texts))
     return msgspec.json.encode(
         _common_fields(response_format, request, _WHOLE_OBJECT[type(response_format)])
         | {"choices": [choice], "usage": usage}
@@ -83,9 +81,7 @@
     response_format: ResponseFormat, request: GenerationRequest
 ) -> tuple[bytes, bytes]:
     """Return the encoded chunk before and after its text."""
-    choice = {"index": 0, "finish_reason": None} | _chunk_choice(
-        response_format, _TEXT_PLACEHOLDER
-    )
+    choice = {"index": 0, "finish_reason": None} | _chunk_choice(response_format, _TEXT_PLACEHOLDER)
     value = _common_fields(response_format, request, _CHUNK_OBJECT[type(response_format)]) | {
         "choices": [choice]
     }
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -128,9 +128,8 @@
             self._parts.health.failed(upstream.id)
         elif not failed:
             self._parts.health.answered(upstream.id)
-        unsigned = (
-            response.status < FIRST_ERROR_STATUS
-            and not self._parts.dialect.is_signed(response)
+        unsigned = response.status < FIRST_ERROR_STATUS and not self._parts.dialect.is_signed(
+            response
         )
         if (failed or unsigned) and call.attempts.take_retry_after_error(
             upstream.id, f"status {response.status}"
