--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -112,7 +112,9 @@
         """
         if _overload_refusal(call, found) is None:
             return found
-        best = self.chooser.for_prompt(call.service, prompt, call.attempts.tried, compare_all=True)
+        best = self.chooser.choose_holder(
+            call.service, prompt, call.attempts.tried, compare_all=True
+        )
         refusal = _overload_refusal(call, best or found)
         if refusal is None:
             return best or found
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -125,9 +125,9 @@
         self._parts.sender.release(answering)
         failed = response.status >= FIRST_SERVER_ERROR_STATUS
         if response.status in FAILURE_STATUSES:
-            self._parts.health.failed(upstream.id)
+            self._parts.health.note_failure(upstream.id)
         elif not failed:
-            self._parts.health.answered(upstream.id)
+            self._parts.health.note_answer(upstream.id)
         unsigned = response.status < FIRST_ERROR_STATUS and not self._parts.dialect.is_signed(
             response
         )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -125,7 +125,7 @@
             case Lost():
                 if not progress.events:
                     waited_ms = call.attempts.seconds_since_send() * MILLISECONDS_PER_SECOND
-                    self._parts.latency_factors.observed(
+                    self._parts.latency_factors.observe(
                         upstream.id, candidate.first_event_ms, waited_ms
                     )
                 return self._prepare_retry(call, outcome)
@@ -158,7 +158,7 @@
             answering.connection.discard()
             raise
         self._parts.sender.release(answering)
-        self._parts.health.answered(answering.upstream.id)
+        self._parts.health.note_answer(answering.upstream.id)
         return True
 
     def _relay_events(
@@ -174,9 +174,9 @@
         for event in read_events(answering.response):
             if not begun:
                 begun = True
-                ticket.prompt_read()
+                ticket.note_prompt_read()
                 real_ms = call.attempts.note_first_event() * MILLISECONDS_PER_SECOND
-                self._parts.latency_factors.observed(
+                self._parts.latency_factors.observe(
                     answering.upstream.id, candidate.first_event_ms, real_ms
                 )
                 if real_ms / MILLISECONDS_PER_SECOND > call.route.latency_target_seconds:
@@ -201,7 +201,7 @@
         self._parts.sender.release(answering)
         status = answering.response.status
         if status in FAILURE_STATUSES:
-            self._parts.health.failed(answering.upstream.id)
+            self._parts.health.note_failure(answering.upstream.id)
         failed = status >= FIRST_SERVER_ERROR_STATUS
         if failed and call.attempts.take_retry_after_error(
             answering.upstream.id, f"status {status}"
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_overload.py
@@ -24,7 +24,7 @@
     def __init__(self, sampled, best):
         self.sampled, self.best = sampled, best
 
-    def for_prompt(self, service, prompt, tried, *, compare_all=False):
+    def choose_holder(self, service, prompt, tried, *, compare_all=False):
         return self.best if compare_all else self.sampled
 
 
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_rate_limits.py
@@ -41,7 +41,7 @@
     # Guards against requests that wait for a limited upstream while another one is free.
     world.add("plain", sized(b"first"))
     world.add("plain", sized(b"second"))
-    world.rates.advertised("u0", 1.0, "answer")
+    world.rates.note_limit("u0", 1.0, "answer")
     assert {world.request("/safe/").body for _ in range(5)} == {b"second"}
 
 
--- a/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/test_streams.py
@@ -161,7 +161,7 @@
     # upstream makes that time shorter.
     world.add("llm", events(1))
     assert world.request("/stream/", model="m", tokens="40000,10").status == 200
-    ticket = world.load_tracker.enter("u0", None, 40_000)
+    ticket = world.load_tracker.open_ticket("u0", None, 40_000)
     small = world.request("/stream/", model="m")
     assert (small.status, b"overloaded" in small.body) == (503, True)
     ticket.close()
