--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
@@ -36,11 +36,11 @@
         self, service: str, engine: EngineRule, views: Callable[[str], list[WorkerView]]
     ) -> None:
         """Load adapters whose holders are too busy at calmer copies of their models."""
-        missed = self._demand.overloaded_adapters(service)
-        if not missed:
+        overloaded = self._demand.overloaded_adapters(service)
+        if not overloaded:
             return
-        for copy in self._spread.copies(missed, views(service), engine.adapter_slots):
-            self._demand.relieved(service, copy.unit)
+        for copy in self._spread.copies(overloaded, views(service), engine.adapter_slots):
+            self._demand.clear_overload(service, copy.unit)
             evicted = self._coldest(service, engine, copy.view)
             asked = self._demand.rate(service, copy.unit)
             if all(self._demand.rate(service, one) < asked * COLD_PART for one in evicted):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
@@ -34,7 +34,7 @@
         self._given_at: dict[Unit, float] = {}
 
     def copies(
-        self, missed: Iterable[Unit], views: Sequence[WorkerView], slots: int
+        self, overloaded: Iterable[Unit], views: Sequence[WorkerView], slots: int
     ) -> list[AdapterCopy]:
         """Return what to load for adapters whose requests were ``missed``, most missed first."""
         now = time.monotonic()
@@ -43,7 +43,7 @@
         }
         free = [*views]
         chosen: list[AdapterCopy] = []
-        for unit in missed:
+        for unit in overloaded:
             if len(chosen) == MOST_EACH_PLAN:
                 break
             view = None if unit in self._given_at else _calmer(unit, free, views, slots)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -34,7 +34,7 @@
 # What is asked for less often says nothing about what comes next.
 LEAST_TOLD_PER_SECOND = 0.02
 # One late request in some seconds is no reason for a further copy of its adapter.
-LEAST_MISSED_PER_SECOND = 0.5
+MIN_OVERLOADS_PER_SECOND = 0.5
 # An instance's news replace its former ones; one that is silent needs nothing.
 UPDATE_FRESH_SECONDS = 1.5
 
@@ -63,8 +63,8 @@
         self._rates: dict[tuple[str, Unit], FadingRate] = {}
         self._model_rates: dict[tuple[str, str], FadingRate] = {}
         self._recent_rates: dict[tuple[str, str], FadingRate] = {}
-        self._missed_rates: dict[tuple[str, str], FadingRate] = {}
-        self._missed_adapters: dict[tuple[str, Unit], FadingRate] = {}
+        self._overload_rates: dict[tuple[str, str], FadingRate] = {}
+        self._adapter_overload_rates: dict[tuple[str, Unit], FadingRate] = {}
         self._peaks: dict[tuple[str, str], float] = {}
         self._missing_since: dict[tuple[str, str], float] = {}
         self._waiting: dict[str, tuple[float, list[DemandEntry]]] = {}
@@ -109,7 +109,7 @@
                     *key,
                     rate.now(now),
                     self._recent_rates[key].now(now),
-                    self._missed_rates[key].now(now),
+                    self._overload_rates[key].now(now),
                     self._peaks.get(key, 0.0),
                 )
                 for key, rate in self._model_rates.items()
@@ -162,32 +162,32 @@
 
     def overload_rate(self, service: str, model: str) -> float:
         """Return the requests a second whose holders of ``model`` were too busy."""
-        return self._missed_rates.get((service, model), _LEAVING).now(time.monotonic())
+        return self._overload_rates.get((service, model), _LEAVING).now(time.monotonic())
 
     def overloaded_adapters(self, service: str) -> list[Unit]:
         """Return the adapters whose holders were too busy lately, the most missed first."""
         now = time.monotonic()
         with self._lock:
-            self._missed_adapters = {
+            self._adapter_overload_rates = {
                 key: rate
-                for key, rate in self._missed_adapters.items()
-                if rate.now(now) >= LEAST_MISSED_PER_SECOND
+                for key, rate in self._adapter_overload_rates.items()
+                if rate.now(now) >= MIN_OVERLOADS_PER_SECOND
             }
             rates = {
                 unit: rate.now(now)
-                for (name, unit), rate in self._missed_adapters.items()
+                for (name, unit), rate in self._adapter_overload_rates.items()
                 if name == service
             }
         return sorted(rates, key=lambda unit: rates[unit], reverse=True)
 
-    def relieved(self, service: str, unit: Unit) -> None:
+    def clear_overload(self, service: str, unit: Unit) -> None:
         """Forget what was missed of an adapter that gets a further holder.
 
         What was late before it came would else bring the adapter to every copy of its
         model, for as long as the memory of it lasts.
         """
         with self._lock:
-            self._missed_adapters.pop((service, unit), None)
+            self._adapter_overload_rates.pop((service, unit), None)
 
     def standing(self, service: str, model: str) -> float:
         """Return how many requests to expect beyond the present rate, for a model at rest.
@@ -240,9 +240,7 @@
             key = (told.service, told.model)
             self._model_rates[key] = self._model_rates.get(key, _STEADY).raised(told.steady, now)
             self._recent_rates[key] = self._recent_rates.get(key, _LEAVING).raised(told.recent, now)
-            self._missed_rates[key] = self._missed_rates.get(key, _LEAVING).raised(
-                told.overloads, now
-            )
+            self._overload_rates[key] = self._overload_rates.get(key, _LEAVING).raised(told.overloads, now)
             if told.peak:
                 self._peaks[key] = self._peaks.get(key, 0.0) + told.peak
         for entry in snapshot.units:
@@ -255,13 +253,13 @@
         model = (entry.service, entry.model)
         steady = self._model_rates.get(model, _STEADY).plus(entry.arrivals, now)
         recent = self._recent_rates.get(model, _LEAVING).plus(entry.arrivals, now)
-        missed = self._missed_rates.get(model, _LEAVING).plus(entry.overloads, now)
+        overloads = self._overload_rates.get(model, _LEAVING).plus(entry.overloads, now)
         self._model_rates[model] = steady
         self._recent_rates[model] = recent
-        self._missed_rates[model] = missed
+        self._overload_rates[model] = overloads
         if entry.overloads and entry.adapter:
             unit = (entry.service, Unit(entry.model, entry.adapter))
-            before = self._missed_adapters.get(unit, _LEAVING)
-            self._missed_adapters[unit] = before.plus(entry.overloads, now)
+            before = self._adapter_overload_rates.get(unit, _LEAVING)
+            self._adapter_overload_rates[unit] = before.plus(entry.overloads, now)
         if entry.arrivals:
             self._peaks[model] = max(self._peaks.get(model, 0.0), steady.per_second)
--- a/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
@@ -46,9 +46,9 @@
     return InstanceUpdate(instance, entries, [], [], [])
 
 
-def overload_update(model, arrivals, missed):
+def overload_update(model, arrivals, overloads):
     """News of requests that a model's holders were too busy for."""
-    entry = DemandEntry(SERVICE, model, "", arrivals, 0, 0.0, missed)
+    entry = DemandEntry(SERVICE, model, "", arrivals, 0, 0.0, overloads)
     return InstanceUpdate("i1", [entry], [], [], [])
 
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
@@ -39,8 +39,8 @@
         clock[0] += STEP_SECONDS
         arrivals = int(per_second * STEP_SECONDS)
         served = min(arrivals, int(len(holders) * WORKER_PER_SECOND * STEP_SECONDS))
-        missed = arrivals - served
-        entry = DemandEntry(SERVICE, "a", "a1", arrivals, 0, 0.0, missed)
+        overloads = arrivals - served
+        entry = DemandEntry(SERVICE, "a", "a1", arrivals, 0, 0.0, overloads)
         demand.receive(InstanceUpdate("i1", [entry], [], [], []))
         busy = per_second // len(holders)
         views = [
@@ -48,9 +48,9 @@
             for n in range(copies)
         ]
         for copy in spread.copies(demand.overloaded_adapters(SERVICE), views, SLOTS):
-            demand.relieved(SERVICE, copy.unit)
+            demand.clear_overload(SERVICE, copy.unit)
             holders.add(int(copy.view.upstream.id[1:]))
-        late_ones, sent = late_ones + missed, sent + arrivals
+        late_ones, sent = late_ones + overloads, sent + arrivals
     return late_ones / sent
 
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
@@ -163,7 +163,7 @@
     # holder is full. Each time a worker is free, one request for a rare model takes
     # its next seconds: the busy model stays with one holder for as long as that lasts.
     for _ in range(10):
-        demand.receive(overload_update("a", arrivals=5, missed=4))
+        demand.receive(overload_update("a", arrivals=5, overloads=4))
     views = [view("u0", "a", "b", free=False), view("u1", "c", "d")]
     swap = planner.best_swap([waits("e")], views, cold_allowed=True)
     assert swap.model.name == "a"
