--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -29,8 +29,8 @@
 BUSY_PER_SECOND = 1.0
 # Before anybody asks, the number of copies that the workers begin with tells how
 # much a model is asked for.
-FIRST_LOOK_SECONDS = 6.0
-KEPT_OF_FIRST_COPIES = 0.6
+OBSERVATION_SECONDS = 6.0
+KEPT_INITIAL_COPIES_FRACTION = 0.6
 # What is asked for less often says nothing about what comes next.
 LEAST_TOLD_PER_SECOND = 0.02
 # One late request in some seconds is no reason for a further copy of its adapter.
@@ -68,15 +68,15 @@
         self._peaks: dict[tuple[str, str], float] = {}
         self._missing_since: dict[tuple[str, str], float] = {}
         self._waiting: dict[str, tuple[float, list[DemandEntry]]] = {}
-        self._first_copies: dict[tuple[str, str], int] = {}
+        self._initial_copies: dict[tuple[str, str], int] = {}
         self._first_arrival_at: float | None = None
         self._introduced: set[str] = set()
 
-    def begin_with(self, service: str, copies_by_model: dict[str, int]) -> None:
+    def note_initial_copies(self, service: str, copies_by_model: dict[str, int]) -> None:
         """Take what the workers of a service hold when this process first sees them."""
         with self._lock:
             for model, copies in copies_by_model.items():
-                self._first_copies.setdefault((service, model), copies)
+                self._initial_copies.setdefault((service, model), copies)
 
     def receive(self, update: InstanceUpdate) -> None:
         """Take an instance's news."""
@@ -219,12 +219,12 @@
 
     def copies_to_keep(self, service: str, model: str) -> int:
         """Return how many copies of ``model`` stay until its demand has been seen."""
-        copies = self._first_copies.get((service, model), 0)
-        return 1 if self._seen_enough() else math.ceil(copies * KEPT_OF_FIRST_COPIES)
+        copies = self._initial_copies.get((service, model), 0)
+        return 1 if self._observation_complete() else math.ceil(copies * KEPT_INITIAL_COPIES_FRACTION)
 
-    def _seen_enough(self) -> bool:
+    def _observation_complete(self) -> bool:
         first = self._first_arrival_at
-        return first is not None and time.monotonic() - first > FIRST_LOOK_SECONDS
+        return first is not None and time.monotonic() - first > OBSERVATION_SECONDS
 
     def _adopt(self, snapshot: DemandSnapshot, now: float) -> None:
         """Add what an instance was asked for before this order giver heard of it.
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
@@ -21,7 +21,7 @@
 # late for it.
 CROWDED_PART = 0.3
 # Until demand is seen, as many copies stay as the workers begin with would suggest.
-UNSEEN_COPY = 5.0
+INITIAL_COPY_REQUESTS = 5.0
 # A request that runs on a model keeps it from going until it has ended.
 RUNNING_REQUEST = 0.3
 MOST_EVICTIONS = 3
@@ -99,7 +99,7 @@
         if others <= 0:
             return running + self._demand.standing(self._service, name) + rate * HORIZON_SECONDS
         if others < self._demand.copies_to_keep(self._service, name):
-            return running + UNSEEN_COPY
+            return running + INITIAL_COPY_REQUESTS
         # Each holder's part of the requests grows from one in n to one in n - 1.
         more = rate * HORIZON_SECONDS / (others * (others + 1))
         return running + SECOND_COPY / others**2 + more * CROWDED_PART
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -183,15 +183,15 @@
     def _follow_list(self) -> None:
         listed = [one for one in self._directory.all() if self._engine(one.service)]
         if not self._workers:
-            self._begin_with(listed)
+            self._note_initial_copies(listed)
         self._workers.follow(listed)
 
-    def _begin_with(self, upstreams: Iterable[Upstream]) -> None:
+    def _note_initial_copies(self, upstreams: Iterable[Upstream]) -> None:
         copies: dict[str, Counter[str]] = defaultdict(Counter)
         for upstream in upstreams:
             copies[upstream.service].update(upstream.models_by_name.keys())
         for service, copies_by_model in copies.items():
-            self._demand.begin_with(service, copies_by_model)
+            self._demand.note_initial_copies(service, copies_by_model)
 
     def _engine(self, service: str) -> EngineRule | None:
         table = self._routes.get()
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
@@ -116,7 +116,7 @@
 
 
 def test_copies_that_workers_begin_with_stay_until_demand_is_seen(planner, demand):
-    demand.begin_with(SERVICE, {"a": 2, "b": 1, "c": 1})
+    demand.note_initial_copies(SERVICE, {"a": 2, "b": 1, "c": 1})
     views = [view("u0", "a", "b"), view("u1", "a", "c", on_disk=["e"])]
     assert planner.coverage_swap(views, cold_allowed=True) is None
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
@@ -48,7 +48,7 @@
         self.loading = {}
         self.settled_at = [{} for _ in self.held]
         self.demand = Demand()
-        self.demand.begin_with(SERVICE, {})
+        self.demand.note_initial_copies(SERVICE, {})
         self.rates = dict.fromkeys(busy, shape.hot_per_second / 10)
 
     def step(self):
