--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -17,22 +17,22 @@
 
 # Demand moves from one model to another within five seconds: a rate fades to half
 # in this time.
-MEMORY_SECONDS = 4.0
+STEADY_HALF_LIFE_SECONDS = 4.0
 # Where a shorter memory says less, demand is leaving: a load that begins now would
 # come for requests that are no longer sent.
-LEAVING_MEMORY_SECONDS = 2.0
+RECENT_HALF_LIFE_SECONDS = 2.0
 # Expected requests, in the same measure as a rate over some seconds.
-UNSEEN_REQUESTS = 3.0
-UNSEEN_HALF_SECONDS = 40.0
-LEFT_REQUESTS = 0.6
-RARE_REQUESTS = 0.2
+NEW_MODEL_REQUESTS = 3.0
+NEW_MODEL_HALF_LIFE_SECONDS = 40.0
+FORMERLY_BUSY_REQUESTS = 0.6
+RARE_MODEL_REQUESTS = 0.2
 BUSY_PER_SECOND = 1.0
 # Before anybody asks, the number of copies that the workers begin with tells how
 # much a model is asked for.
 OBSERVATION_SECONDS = 6.0
 KEPT_INITIAL_COPIES_FRACTION = 0.6
 # What is asked for less often says nothing about what comes next.
-LEAST_TOLD_PER_SECOND = 0.02
+MIN_SENT_PER_SECOND = 0.02
 # One late request in some seconds is no reason for a further copy of its adapter.
 MIN_OVERLOADS_PER_SECOND = 0.5
 # An instance's news replace its former ones; one that is silent needs nothing.
@@ -51,8 +51,8 @@
     max_wait_seconds: float
 
 
-_STEADY = FadingRate(MEMORY_SECONDS)
-_LEAVING = FadingRate(LEAVING_MEMORY_SECONDS)
+_ZERO_STEADY = FadingRate(STEADY_HALF_LIFE_SECONDS)
+_ZERO_RECENT = FadingRate(RECENT_HALF_LIFE_SECONDS)
 
 
 class Demand:
@@ -117,7 +117,7 @@
             units = [
                 UnitRate(service, unit.model, unit.adapter, rate.now(now))
                 for (service, unit), rate in self._rates.items()
-                if rate.now(now) > LEAST_TOLD_PER_SECOND
+                if rate.now(now) > MIN_SENT_PER_SECOND
             ]
         return DemandSnapshot(now - first, models, units)
 
@@ -153,16 +153,16 @@
         It rises as arrivals have lasted, and falls as soon as they end.
         """
         key, now = (service, model), time.monotonic()
-        steady = self._model_rates.get(key, _STEADY).now(now)
-        return min(steady, self._recent_rates.get(key, _LEAVING).now(now))
+        steady = self._model_rates.get(key, _ZERO_STEADY).now(now)
+        return min(steady, self._recent_rates.get(key, _ZERO_RECENT).now(now))
 
     def recent_rate(self, service: str, model: str) -> float:
         """Return the arrivals a second of ``model``, by the memory of `overload_rate`."""
-        return self._recent_rates.get((service, model), _LEAVING).now(time.monotonic())
+        return self._recent_rates.get((service, model), _ZERO_RECENT).now(time.monotonic())
 
     def overload_rate(self, service: str, model: str) -> float:
         """Return the requests a second whose holders of ``model`` were too busy."""
-        return self._overload_rates.get((service, model), _LEAVING).now(time.monotonic())
+        return self._overload_rates.get((service, model), _ZERO_RECENT).now(time.monotonic())
 
     def overloaded_adapters(self, service: str) -> list[Unit]:
         """Return the adapters whose holders were too busy lately, the most missed first."""
@@ -189,7 +189,7 @@
         with self._lock:
             self._adapter_overload_rates.pop((service, unit), None)
 
-    def standing(self, service: str, model: str) -> float:
+    def baseline_requests(self, service: str, model: str) -> float:
         """Return how many requests to expect beyond the present rate, for a model at rest.
 
         Demand moves on to models that nobody has asked for yet; those that it has
@@ -197,15 +197,15 @@
         """
         peak = self._peaks.get((service, model))
         if peak is None:
-            return max(RARE_REQUESTS, UNSEEN_REQUESTS * self._unseen_part())
-        return LEFT_REQUESTS if peak >= BUSY_PER_SECOND else RARE_REQUESTS
+            return max(RARE_MODEL_REQUESTS, NEW_MODEL_REQUESTS * self._new_model_fraction())
+        return FORMERLY_BUSY_REQUESTS if peak >= BUSY_PER_SECOND else RARE_MODEL_REQUESTS
 
-    def _unseen_part(self) -> float:
+    def _new_model_fraction(self) -> float:
         # What nobody has asked for in a while is no longer likely to be next: it
         # would else keep its place for ever against what is asked for.
         first = self._first_arrival_at
         since = 0.0 if first is None else time.monotonic() - first
-        return 0.5 ** (since / UNSEEN_HALF_SECONDS)
+        return 0.5 ** (since / NEW_MODEL_HALF_LIFE_SECONDS)
 
     def missing_seconds(self, service: str, model: str, *, held: bool) -> float:
         """Return for how long requests have asked in vain for ``model``; 0 once it is held."""
@@ -238,28 +238,28 @@
         self._first_arrival_at = first if known is None else min(known, first)
         for told in snapshot.models:
             key = (told.service, told.model)
-            self._model_rates[key] = self._model_rates.get(key, _STEADY).raised(told.steady, now)
-            self._recent_rates[key] = self._recent_rates.get(key, _LEAVING).raised(told.recent, now)
-            self._overload_rates[key] = self._overload_rates.get(key, _LEAVING).raised(told.overloads, now)
+            self._model_rates[key] = self._model_rates.get(key, _ZERO_STEADY).raised(told.steady, now)
+            self._recent_rates[key] = self._recent_rates.get(key, _ZERO_RECENT).raised(told.recent, now)
+            self._overload_rates[key] = self._overload_rates.get(key, _ZERO_RECENT).raised(told.overloads, now)
             if told.peak:
                 self._peaks[key] = self._peaks.get(key, 0.0) + told.peak
         for entry in snapshot.units:
             unit = (entry.service, Unit(entry.model, entry.adapter))
-            self._rates[unit] = self._rates.get(unit, _STEADY).raised(entry.steady, now)
+            self._rates[unit] = self._rates.get(unit, _ZERO_STEADY).raised(entry.steady, now)
 
     def _count(self, entry: DemandEntry, now: float) -> None:
         key = (entry.service, Unit(entry.model, entry.adapter))
-        self._rates[key] = self._rates.get(key, _STEADY).plus(entry.arrivals, now)
+        self._rates[key] = self._rates.get(key, _ZERO_STEADY).plus(entry.arrivals, now)
         model = (entry.service, entry.model)
-        steady = self._model_rates.get(model, _STEADY).plus(entry.arrivals, now)
-        recent = self._recent_rates.get(model, _LEAVING).plus(entry.arrivals, now)
-        overloads = self._overload_rates.get(model, _LEAVING).plus(entry.overloads, now)
+        steady = self._model_rates.get(model, _ZERO_STEADY).plus(entry.arrivals, now)
+        recent = self._recent_rates.get(model, _ZERO_RECENT).plus(entry.arrivals, now)
+        overloads = self._overload_rates.get(model, _ZERO_RECENT).plus(entry.overloads, now)
         self._model_rates[model] = steady
         self._recent_rates[model] = recent
         self._overload_rates[model] = overloads
         if entry.overloads and entry.adapter:
             unit = (entry.service, Unit(entry.model, entry.adapter))
-            before = self._adapter_overload_rates.get(unit, _LEAVING)
+            before = self._adapter_overload_rates.get(unit, _ZERO_RECENT)
             self._adapter_overload_rates[unit] = before.plus(entry.overloads, now)
         if entry.arrivals:
             self._peaks[model] = max(self._peaks.get(model, 0.0), steady.per_second)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
@@ -97,7 +97,7 @@
         rate = self._demand.model_rate(self._service, name)
         others = self.holders.get(name, 1) - 1
         if others <= 0:
-            return running + self._demand.standing(self._service, name) + rate * HORIZON_SECONDS
+            return running + self._demand.baseline_requests(self._service, name) + rate * HORIZON_SECONDS
         if others < self._demand.copies_to_keep(self._service, name):
             return running + INITIAL_COPY_REQUESTS
         # Each holder's part of the requests grows from one in n to one in n - 1.
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
@@ -8,7 +8,7 @@
 
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
 from redwingscale_daemon._internal.swaps.demand import (
-    LEAVING_MEMORY_SECONDS,
+    RECENT_HALF_LIFE_SECONDS,
     Demand,
     WaitingUnit,
 )
@@ -145,7 +145,7 @@
         at_hand = frozenset().union(*(v.upstream.in_memory | v.upstream.on_disk for v in views))
 
         def wish(name: str, rule: ModelRule) -> _Wish:
-            value = self._demand.standing(self._service, name) + self._expected(name)
+            value = self._demand.baseline_requests(self._service, name) + self._expected(name)
             value *= AT_HAND_PART if name in at_hand else 1.0
             return _Wish(rule, lambda _: value, spare_only=True)
 
@@ -203,7 +203,7 @@
             coming[view.loading] += 1.0
         for name, settled_at in view.settled_at.items():
             if name in view.resident:
-                coming[name] += 0.5 ** ((now - settled_at) / LEAVING_MEMORY_SECONDS)
+                coming[name] += 0.5 ** ((now - settled_at) / RECENT_HALF_LIFE_SECONDS)
     return coming
 
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
@@ -33,7 +33,7 @@
     for model in ("a", "b"):
         expected = alone.model_rate(SERVICE, model)
         assert taken_over.model_rate(SERVICE, model) == pytest.approx(expected, rel=0.05)
-    assert taken_over.standing(SERVICE, "a") == alone.standing(SERVICE, "a")
+    assert taken_over.baseline_requests(SERVICE, "a") == alone.baseline_requests(SERVICE, "a")
 
 
 def test_introduction_counts_once_a_term(told):
