--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -70,7 +70,7 @@
         self._waiting: dict[str, tuple[float, list[DemandEntry]]] = {}
         self._initial_copies: dict[tuple[str, str], int] = {}
         self._first_arrival_at: float | None = None
-        self._introduced: set[str] = set()
+        self._snapshot_senders: set[str] = set()
 
     def note_initial_copies(self, service: str, copies_by_model: dict[str, int]) -> None:
         """Take what the workers of a service hold when this process first sees them."""
@@ -82,22 +82,19 @@
         """Take an instance's news."""
         now = time.monotonic()
         with self._lock:
-            if update.demand_snapshot is not None and update.instance not in self._introduced:
-                self._introduced.add(update.instance)
-                self._adopt(update.demand_snapshot, now)
-            self._waiting[update.instance] = (
-                now,
-                [entry for entry in update.demand if entry.waiting],
-            )
+            if update.demand_snapshot is not None and update.instance not in self._snapshot_senders:
+                self._snapshot_senders.add(update.instance)
+                self._add_snapshot(update.demand_snapshot, now)
+            self._waiting[update.instance] = (now, [entry for entry in update.demand if entry.waiting])
             if update.demand and self._first_arrival_at is None:
                 self._first_arrival_at = now
             for entry in update.demand:
                 self._count(entry, now)
 
-    def forget_introductions(self) -> None:
+    def forget_snapshot_senders(self) -> None:
         """Take what instances have been asked for so far once more; for a new term."""
         with self._lock:
-            self._introduced.clear()
+            self._snapshot_senders.clear()
 
     def snapshot(self) -> DemandSnapshot:
         """Return what was counted here, for an order giver that knows nothing of it."""
@@ -126,19 +123,19 @@
         now = time.monotonic()
         with self._lock:
             waiting = [
-                (entry, heard_at)
-                for heard_at, entries in self._waiting.values()
-                if now - heard_at < UPDATE_FRESH_SECONDS
+                (entry, received_at)
+                for received_at, entries in self._waiting.values()
+                if now - received_at < UPDATE_FRESH_SECONDS
                 for entry in entries
             ]
         by_unit: dict[tuple[str, Unit], WaitingUnit] = {}
-        for entry, heard_at in waiting:
+        for entry, received_at in waiting:
             key = (entry.service, Unit(entry.model, entry.adapter))
-            patience = entry.max_wait_seconds - (now - heard_at)
-            known = by_unit.get(key, WaitingUnit(*key, 0, 0.0))
-            by_unit[key] = known._replace(
-                requests=known.requests + entry.waiting * entry.weight,
-                max_wait_seconds=max(known.max_wait_seconds, patience),
+            max_wait = entry.max_wait_seconds - (now - received_at)
+            current = by_unit.get(key, WaitingUnit(*key, 0, 0.0))
+            by_unit[key] = current._replace(
+                requests=current.requests + entry.waiting * entry.weight,
+                max_wait_seconds=max(current.max_wait_seconds, max_wait),
             )
         return sorted(by_unit.values(), key=lambda waiting: waiting.max_wait_seconds)
 
@@ -226,7 +223,7 @@
         first = self._first_arrival_at
         return first is not None and time.monotonic() - first > OBSERVATION_SECONDS
 
-    def _adopt(self, snapshot: DemandSnapshot, now: float) -> None:
+    def _add_snapshot(self, snapshot: DemandSnapshot, now: float) -> None:
         """Add what an instance was asked for before this order giver heard of it.
 
         An order giver that takes over while demand moves would else see each model's
@@ -234,15 +231,15 @@
         of further copies of the busy one.
         """
         first = now - snapshot.seconds
-        known = self._first_arrival_at
-        self._first_arrival_at = first if known is None else min(known, first)
-        for told in snapshot.models:
-            key = (told.service, told.model)
-            self._model_rates[key] = self._model_rates.get(key, _ZERO_STEADY).raised(told.steady, now)
-            self._recent_rates[key] = self._recent_rates.get(key, _ZERO_RECENT).raised(told.recent, now)
-            self._overload_rates[key] = self._overload_rates.get(key, _ZERO_RECENT).raised(told.overloads, now)
-            if told.peak:
-                self._peaks[key] = self._peaks.get(key, 0.0) + told.peak
+        current = self._first_arrival_at
+        self._first_arrival_at = first if current is None else min(current, first)
+        for received in snapshot.models:
+            key = (received.service, received.model)
+            self._model_rates[key] = self._model_rates.get(key, _ZERO_STEADY).raised(received.steady, now)
+            self._recent_rates[key] = self._recent_rates.get(key, _ZERO_RECENT).raised(received.recent, now)
+            self._overload_rates[key] = self._overload_rates.get(key, _ZERO_RECENT).raised(received.overloads, now)
+            if received.peak:
+                self._peaks[key] = self._peaks.get(key, 0.0) + received.peak
         for entry in snapshot.units:
             unit = (entry.service, Unit(entry.model, entry.adapter))
             self._rates[unit] = self._rates.get(unit, _ZERO_STEADY).raised(entry.steady, now)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -176,7 +176,7 @@
             self._gave_orders = False
             self._schedule = UpdateSchedule()
             self._changes = ListChanges()
-            self._demand.forget_introductions()
+            self._demand.forget_snapshot_senders()
             log_event("giver_ends")
         self._workers.stop()
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
@@ -44,7 +44,7 @@
     once = demand.model_rate(SERVICE, "a")
     demand.receive(introduction(told))
     assert demand.model_rate(SERVICE, "a") == pytest.approx(once, rel=0.05)
-    demand.forget_introductions()
+    demand.forget_snapshot_senders()
     demand.receive(introduction(told))
     assert demand.model_rate(SERVICE, "a") > 1.5 * once
 
