--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/carried_models.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/carried_models.py
@@ -28,7 +28,7 @@
     if not sound:
         return list(views)
     elsewhere = {name for view in sound for name in [*view.resident, view.loading]}
-    missing = {unit.model for unit in waiting if unit.adapter and not _held(unit, views)}
+    missing = {unit.model for unit in waiting if unit.adapter and not _is_resident(unit, views)}
     limited = [view for view in views if view.upstream.id in limits_by_id]
     return sound + [
         view._replace(
@@ -60,5 +60,5 @@
     return carried
 
 
-def _held(unit: Unit, views: Sequence[WorkerView]) -> bool:
+def _is_resident(unit: Unit, views: Sequence[WorkerView]) -> bool:
     return any(unit.adapter in view.resident.get(unit.model, ()) for view in views)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -204,12 +204,12 @@
         since = 0.0 if first is None else time.monotonic() - first
         return 0.5 ** (since / NEW_MODEL_HALF_LIFE_SECONDS)
 
-    def missing_seconds(self, service: str, model: str, *, held: bool) -> float:
+    def missing_seconds(self, service: str, model: str, *, resident: bool) -> float:
         """Return for how long requests have asked in vain for ``model``; 0 once it is held."""
         key = (service, model)
         now = time.monotonic()
         with self._lock:
-            if held:
+            if resident:
                 self._missing_since.pop(key, None)
                 return 0.0
             return now - self._missing_since.setdefault(key, now)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -206,8 +206,8 @@
             views = self._views(waiting.service)
             model = waiting.unit.model
             if any(model in view.resident for view in views):
-                self._demand.missing_seconds(waiting.service, model, held=True)
-            if any(_holds(view, waiting.unit) for view in views):
+                self._demand.missing_seconds(waiting.service, model, resident=True)
+            if any(_has_resident(view, waiting.unit) for view in views):
                 continue
             if any(model in view.resident for view in views):
                 self._adapters.bring(waiting, engine, views)
@@ -287,6 +287,6 @@
         return table.keys.limits_by_name if table and table.keys else {}
 
 
-def _holds(view: WorkerView, unit: Unit) -> bool:
+def _has_resident(view: WorkerView, unit: Unit) -> bool:
     adapters = view.resident.get(unit.model)
     return adapters is not None and (not unit.adapter or unit.adapter in adapters)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
@@ -132,7 +132,7 @@
         if rule is None:
             return None
         expected = self._expected(rule.name)
-        missing = self._demand.missing_seconds(self._service, rule.name, held=False)
+        missing = self._demand.missing_seconds(self._service, rule.name, resident=False)
         overdue = min(MOST_OVERDUE, missing * MISSING_SECOND)
 
         def gain(load_seconds: float) -> float:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -70,9 +70,7 @@
         )
         return False
 
-    def held(
-        self, going: frozenset[str], going_adapters: frozenset[Unit]
-    ) -> AdaptersByModel | None:
+    def resident(self, going: frozenset[str], going_adapters: frozenset[Unit]) -> AdaptersByModel | None:
         """Return what requests may be sent for, None while it isn't known."""
         if self.superseded:
             return {}
@@ -108,16 +106,16 @@
     def _may_have_gone(self) -> bool:
         return time.monotonic() < self._unanswered_until
 
-    def holds_adapter(self, unit: Unit) -> bool:
+    def has_adapter(self, unit: Unit) -> bool:
         """Return whether the adapter of ``unit`` is there, as far as it is known."""
         return self.report is not None and unit.adapter in self.report.resident.get(unit.model, ())
 
-    def note_adapter(self, unit: Unit, *, held: bool) -> None:
+    def note_adapter(self, unit: Unit, *, resident: bool) -> None:
         """Note an adapter that has come or gone."""
         report = self.report
         assert report is not None
         adapters = report.resident.get(unit.model, frozenset())
-        changed = adapters | {unit.adapter} if held else adapters - {unit.adapter}
+        changed = adapters | {unit.adapter} if resident else adapters - {unit.adapter}
         arriving = frozenset(one for one in report.arriving if one != unit)
         self.report = report._replace(
             resident={**report.resident, unit.model: changed}, arriving=arriving
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -104,9 +104,9 @@
         """Seconds until the model that is being loaded should be there."""
         return max(0.0, self._ready_at - time.monotonic())
 
-    def held(self) -> AdaptersByModel | None:
+    def resident(self) -> AdaptersByModel | None:
         """Return what requests may be sent for, None while it isn't known."""
-        return self.ledger.held(self._going, self._going_adapters)
+        return self.ledger.resident(self._going, self._going_adapters)
 
     def give(self, task: Task) -> None:
         """Carry out ``task``; only while `free`."""
@@ -214,7 +214,7 @@
 
     def _load_adapter(self, task: AdapterTask) -> bool:
         # The plan may have been made from an older list.
-        evicted = [unit for unit in task.evicted if self.ledger.holds_adapter(unit)]
+        evicted = [unit for unit in task.evicted if self.ledger.has_adapter(unit)]
         if evicted:
             self._going_adapters = frozenset(evicted)
             self._on_change()
@@ -226,14 +226,14 @@
                 return False
             if self.ledger.report is None:
                 return False
-            self.ledger.note_adapter(unit, held=False)
+            self.ledger.note_adapter(unit, resident=False)
         if not self.ledger.has_room(task.unit):
             log_event("adapter_has_no_room", upstream=self.upstream.id, unit=task.unit)
             return False
         if self._order(Load(task.unit)) not in (OrderResult.ACCEPTED, OrderResult.HOLDS):
             return False
         time.sleep(ADAPTER_SECONDS)
-        self.ledger.note_adapter(task.unit, held=True)
+        self.ledger.note_adapter(task.unit, resident=True)
         return True
 
     def _order(self, action: Load | Unload) -> OrderResult:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
@@ -59,7 +59,7 @@
 
     def resident_by_id(self) -> dict[str, AdaptersByModel | None]:
         """Return what each worker holds, None where it isn't known."""
-        return {key: worker.held() for key, worker in self._by_id.items()}
+        return {key: worker.resident() for key, worker in self._by_id.items()}
 
     def ready_in_by_model(self) -> dict[str, float]:
         """Return the seconds until each model that is being loaded should be there."""
@@ -75,7 +75,7 @@
 
     def _view(self, upstream: Upstream, totals: Totals) -> WorkerView:
         worker = self._by_id[upstream.id]
-        resident = worker.held()
+        resident = worker.resident()
         if resident is None:
             resident = {model.name: model.adapters for model in upstream.models_by_name.values()}
         load = totals.loads.get(upstream.id, Load(0, 0))
--- a/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
@@ -28,17 +28,17 @@
 
 
 def upstream(name, *models, in_memory=(), on_disk=()):
-    held = {m: ResidentModel(m, 1, frozenset()) for m in models}
+    resident = {m: ResidentModel(m, 1, frozenset()) for m in models}
     return Upstream(
-        name, SERVICE, "127.0.0.1", 1, "z1", 64, False, None, held,
+        name, SERVICE, "127.0.0.1", 1, "z1", 64, False, None, resident,
         frozenset(in_memory), frozenset(on_disk),
     )  # fmt: skip
 
 
 def view(name, *models, free=True, loading="", prompt_tokens=0, **copies):
     listed = upstream(name, *models, **copies)
-    held = {m: frozenset() for m in models}
-    return WorkerView(listed, held, free, loading, {}, 0, prompt_tokens, {})
+    resident = {m: frozenset() for m in models}
+    return WorkerView(listed, resident, free, loading, {}, 0, prompt_tokens, {})
 
 
 def update(instance="i1", **arrivals):
@@ -102,8 +102,8 @@
 class ScriptedWorker:
     """An engine in place of `OrderClient`: carries orders out at once, unless told otherwise."""
 
-    def __init__(self, held=("a",)):
-        self.held = {name: frozenset() for name in held}
+    def __init__(self, resident=("a",)):
+        self.resident = {name: frozenset() for name in resident}
         self.accepted = 0
         self.orders = []
         self.results = []
@@ -113,7 +113,7 @@
     def report(self, upstream):
         if not self.reachable:
             return None
-        return EngineReport(dict(self.held), frozenset(), False, self.accepted, self.started_at_ms)
+        return EngineReport(dict(self.resident), frozenset(), False, self.accepted, self.started_at_ms)
 
     def order(self, upstream, order):
         self.orders.append(order)
@@ -129,17 +129,17 @@
         if unit.adapter:
             return self._adapter(order.action, unit)
         if isinstance(order.action, Load):
-            self.held[unit.model] = frozenset()
+            self.resident[unit.model] = frozenset()
         else:
-            self.held.pop(unit.model)
+            self.resident.pop(unit.model)
         return OrderResult.ACCEPTED
 
     def _adapter(self, action, unit):
-        here = self.held[unit.model]
+        here = self.resident[unit.model]
         if isinstance(action, Load):
-            self.held[unit.model] = here | {unit.adapter}
+            self.resident[unit.model] = here | {unit.adapter}
             return OrderResult.ACCEPTED
-        self.held[unit.model] = here - {unit.adapter}
+        self.resident[unit.model] = here - {unit.adapter}
         self.accepted += 1
         return OrderResult.HOLDS
 
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
@@ -14,11 +14,11 @@
 ASKED = {"busy": 4.0, "calm": 0.5, "rare": 0.1, "shared": 2.0}
 
 
-def view(name, **held):
+def view(name, **resident):
     upstream = Upstream(
         name, "llm", "127.0.0.1", 1, "z1", 64, False, None, {}, frozenset(), frozenset()
     )
-    return WorkerView(upstream, held, True, "", {}, 0, 0, {})
+    return WorkerView(upstream, resident, True, "", {}, 0, 0, {})
 
 
 @pytest.fixture
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
@@ -29,13 +29,13 @@
     worker.started_at_ms = 1
     one.give(SwapTask((), "b", 0.01))
     assert idle(one)
-    assert set(one.held()) == {"a", "b"}
-    worker.started_at_ms, worker.held, worker.accepted = 2, {}, 0
+    assert set(one.resident()) == {"a", "b"}
+    worker.started_at_ms, worker.resident, worker.accepted = 2, {}, 0
     one.ledger.forget()
     sent = len(worker.orders)
     one.give(SwapTask((), "c", 0.01))
     assert idle(one)
-    assert one.held() == {}
+    assert one.resident() == {}
     assert not one.free
     assert len(worker.orders) == sent
 
@@ -45,21 +45,21 @@
     # given two models, which fill it; then the old load arrives with the number that it
     # was sent with, is accepted as the third, and the worker crashes once more.
     late = UnansweredLoad(2, 70.0, float("inf"))
-    worker.held = {}
+    worker.resident = {}
     one = orders(upstream("w"), [late])
     for model in ("b", "c"):
         one.give(SwapTask((), model, 0.01))
         assert idle(one)
-    assert set(worker.held) == {"b"}
+    assert set(worker.resident) == {"b"}
 
 
 def test_both_models_come_once_the_late_load_is_void(orders, worker):
-    worker.held = {}
+    worker.resident = {}
     one = orders(upstream("w"), [UnansweredLoad(0, 70.0, float("inf"))])
     for model in ("b", "c"):
         one.give(SwapTask((), model, 0.01))
         assert idle(one)
-    assert set(worker.held) == {"b", "c"}
+    assert set(worker.resident) == {"b", "c"}
 
 
 def test_load_without_an_answer_is_remembered(orders, worker):
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
@@ -43,10 +43,10 @@
         )  # fmt: skip
         # Each worker has three; busy ones of before have several copies, "m0" has one.
         busy = names[1:6]
-        self.held = [{rng.choice(busy), f"m{n + 6}"} for n in range(shape.workers)]
-        self.held[0].add("m0")
+        self.resident = [{rng.choice(busy), f"m{n + 6}"} for n in range(shape.workers)]
+        self.resident[0].add("m0")
         self.loading = {}
-        self.settled_at = [{} for _ in self.held]
+        self.settled_at = [{} for _ in self.resident]
         self.demand = Demand()
         self.demand.note_initial_copies(SERVICE, {})
         self.rates = dict.fromkeys(busy, shape.hot_per_second / 10)
@@ -56,7 +56,7 @@
         self.clock[0] += STEP_SECONDS
         for worker, (name, ready_at) in [*self.loading.items()]:
             if self.clock[0] >= ready_at:
-                self.held[worker].add(name)
+                self.resident[worker].add(name)
                 self.settled_at[worker][name] = self.clock[0]
                 del self.loading[worker]
         served = {name: self._served(name, rate) for name, rate in self.rates.items()}
@@ -70,7 +70,7 @@
         return sum(served.values()) / sum(self.rates.values())
 
     def _served(self, name, rate):
-        holders = sum(1 for held in self.held if name in held)
+        holders = sum(1 for resident in self.resident if name in resident)
         return min(rate, holders * self.shape.per_second)
 
     def _plan(self):
@@ -80,20 +80,20 @@
             if swap is None:
                 return
             worker = int(swap.view.upstream.id[1:])
-            self.held[worker] -= set(swap.evicted)
+            self.resident[worker] -= set(swap.evicted)
             self.loading[worker] = (swap.model.name, self.clock[0] + swap.load_seconds)
 
     def _views(self):
-        return [self._view(n, held) for n, held in enumerate(self.held)]
+        return [self._view(n, resident) for n, resident in enumerate(self.resident)]
 
-    def _view(self, worker, held):
-        resident = {name: ResidentModel(name, 1, frozenset()) for name in held}
+    def _view(self, worker, resident):
+        listed = {name: ResidentModel(name, 1, frozenset()) for name in resident}
         upstream = Upstream(
-            f"u{worker}", SERVICE, "127.0.0.1", 1, "z1", 16, False, None, resident,
+            f"u{worker}", SERVICE, "127.0.0.1", 1, "z1", 16, False, None, listed,
             frozenset(), frozenset(),
         )  # fmt: skip
         loading = self.loading.get(worker, ("", 0.0))[0]
-        names = {name: frozenset() for name in held}
+        names = {name: frozenset() for name in resident}
         return WorkerView(upstream, names, not loading, loading, self.settled_at[worker], 0, 0, {})
 
 
@@ -135,5 +135,5 @@
     play.rates["m0"] = shape.hot_per_second
     for _ in range(100):
         play.step()
-    copies = sum(1 for held in play.held if "m0" in held)
+    copies = sum(1 for resident in play.resident if "m0" in resident)
     assert copies <= 2 * shape.hot_per_second / shape.per_second
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
@@ -43,11 +43,11 @@
 
 
 def test_swap_unloads_then_loads(orders, worker):
-    worker.held["b"] = frozenset()
+    worker.resident["b"] = frozenset()
     carry_out(orders, SwapTask(("b",), "c", 0.0))
     assert [order.action for order in worker.orders] == [Unload(Unit("b")), Load(Unit("c"))]
     assert [order.orders_accepted for order in worker.orders] == [0, 1]
-    assert orders.held() == {"a": frozenset(), "c": frozenset()}
+    assert orders.resident() == {"a": frozenset(), "c": frozenset()}
 
 
 def test_model_that_goes_is_told_before_it_is_unloaded(worker, engine, right):
@@ -55,7 +55,7 @@
     seen = []
     orders = WorkerOrders(
         upstream("u0", "a"), lambda: engine, worker, OrderAuthority("i1", lambda: right[0]),
-        lambda: seen.append((sorted(orders.held() or {}), len(worker.orders))),
+        lambda: seen.append((sorted(orders.resident() or {}), len(worker.orders))),
     )  # fmt: skip
     carry_out(orders, SwapTask(("a",), "c", 0.0))
     assert seen[0] == ([], 0)
@@ -64,11 +64,11 @@
 def test_load_without_room_is_never_ordered(orders, worker):
     # What the planner knew was old: the worker holds one model more. Loaded all
     # the same, it would run out of memory under its running models.
-    worker.held["b"] = frozenset()
+    worker.resident["b"] = frozenset()
     carry_out(orders, SwapTask((), "c", 0.0))
     assert worker.orders == []
     # The next plan must know what the report has told, or it is the same one again.
-    assert orders.held() == {"a": frozenset(), "b": frozenset()}
+    assert orders.resident() == {"a": frozenset(), "b": frozenset()}
 
 
 def test_order_without_an_answer_is_followed_by_a_report(orders, worker):
@@ -76,15 +76,15 @@
     # top of it could overfill the worker, so what it holds is asked for first.
     worker.results = [OrderResult.UNKNOWN]
     carry_out(orders, SwapTask((), "c", 0.0))
-    assert orders.held() is None
-    worker.held["c"] = frozenset()
+    assert orders.resident() is None
+    worker.resident["c"] = frozenset()
     worker.accepted = 1
     carry_out(orders, SwapTask((), "d", 0.0))
     assert [order.action for order in worker.orders] == [Load(Unit("c"))]
 
 
 def test_refused_order_ends_the_swap(orders, worker):
-    worker.held["b"] = frozenset()
+    worker.resident["b"] = frozenset()
     worker.results = [OrderResult.BUSY]
     carry_out(orders, SwapTask(("b",), "c", 0.0))
     assert len(worker.orders) == 1
@@ -97,7 +97,7 @@
 
 
 def test_right_that_is_lost_in_mid_swap_stops_it(orders, worker, right):
-    worker.held["b"] = frozenset()
+    worker.resident["b"] = frozenset()
     original = worker.order
 
     def order_and_lose(upstream, order):
@@ -121,16 +121,16 @@
     for name in ("x", "y"):
         carry_out(orders, AdapterTask(Unit("a", name), ()))
     carry_out(orders, AdapterTask(Unit("a", "z"), ()))
-    assert worker.held["a"] == {"x", "y"}
+    assert worker.resident["a"] == {"x", "y"}
     carry_out(orders, AdapterTask(Unit("a", "z"), (Unit("a", "x"),)))
-    assert worker.held["a"] == {"y", "z"}
-    assert orders.held() == {"a": frozenset({"y", "z"})}
+    assert worker.resident["a"] == {"y", "z"}
+    assert orders.resident() == {"a": frozenset({"y", "z"})}
 
 
 def test_adapter_without_room_beside_the_models_is_never_ordered(worker, engine, right):
     # Two models fill the worker's memory to the last megabyte. The adapter that a request
     # waits for has a free place by its number: ordered, it crashes the worker.
-    worker.held["b"] = frozenset()
+    worker.resident["b"] = frozenset()
     tight = engine._replace(weights_mb=140.0)
     orders = WorkerOrders(
         upstream("u0", "a"),
@@ -145,12 +145,12 @@
 
 def test_place_is_kept_for_an_adapter_whose_late_order_may_still_be_accepted(orders, worker):
     # Guards against an adapter beyond the places, at which the worker crashes.
-    worker.held["a"] = frozenset({"x", "z"})
+    worker.resident["a"] = frozenset({"x", "z"})
     # The adapter to drop has just gone: the worker counts no order, the ledger does, and the
     # load after it, which gets no answer, may be accepted after the next order.
     worker.results = [OrderResult.HOLDS, OrderResult.UNKNOWN]
     carry_out(orders, AdapterTask(Unit("a", "y"), (Unit("a", "z"),)))
-    worker.held["a"] = frozenset({"x"})
+    worker.resident["a"] = frozenset({"x"})
     carry_out(orders, AdapterTask(Unit("a", "w"), ()))
     assert [order.action for order in worker.orders] == [
         Unload(Unit("a", "z")),
@@ -158,16 +158,16 @@
     ]
     carry_out(orders, AdapterTask(Unit("a", "w"), (Unit("a", "x"),)))
     carry_out(orders, AdapterTask(Unit("a", "w"), (Unit("a", "x"),)))
-    assert worker.held["a"] == {"w"}
+    assert worker.resident["a"] == {"w"}
 
 
 def test_unload_of_an_adapter_that_may_have_gone_is_not_counted(orders, worker):
     # Guards against orders that name a number which the worker has not come to yet.
-    worker.held["a"] = frozenset({"x", "z"})
+    worker.resident["a"] = frozenset({"x", "z"})
     worker.results = [OrderResult.UNKNOWN, OrderResult.HOLDS]
     for _ in range(2):
         carry_out(orders, AdapterTask(Unit("a", "w"), (Unit("a", "z"),)))
-    worker.held["a"] = frozenset({"x"})
+    worker.resident["a"] = frozenset({"x"})
     carry_out(orders, AdapterTask(Unit("a", "w"), (Unit("a", "z"),)))
-    assert worker.held["a"] == {"w", "x"}
+    assert worker.resident["a"] == {"w", "x"}
     assert {order.orders_accepted for order in worker.orders} == {0}
