--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -89,7 +89,7 @@
         if result is OrderResult.UNKNOWN:
             self._unanswered_until = time.monotonic() + LATEST_SECONDS
         idle_adapter = bool(action.unit.adapter) and isinstance(action, Unload)
-        if idle_adapter and result is OrderResult.HOLDS and self._may_have_gone():
+        if idle_adapter and result is OrderResult.ALREADY_APPLIED and self._may_have_gone():
             self.forget()
             return
         if result is OrderResult.UNKNOWN and isinstance(action, Load):
@@ -100,7 +100,7 @@
                 bool(action.unit.adapter),
             )
             self.unanswered.append(late)
-        if result is OrderResult.ACCEPTED or (result is OrderResult.HOLDS and idle_adapter):
+        if result is OrderResult.ACCEPTED or (result is OrderResult.ALREADY_APPLIED and idle_adapter):
             self.report = report._replace(orders_accepted=report.orders_accepted + 1)
 
     def _may_have_gone(self) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -192,7 +192,7 @@
             log_event("swap_has_no_room", upstream=self.upstream.id, model=task.model)
             return True
         unit = Unit(task.model)
-        if self._order(Load(unit)) not in (OrderResult.ACCEPTED, OrderResult.HOLDS):
+        if self._order(Load(unit)) not in (OrderResult.ACCEPTED, OrderResult.ALREADY_APPLIED):
             return False
         self._ready_at = time.monotonic() + task.load_seconds
         limit = task.load_seconds * LOAD_LIMIT_FACTOR + 1.0
@@ -205,7 +205,7 @@
 
     def _unload(self, name: str) -> bool:
         result = self._order(Unload(Unit(name)))
-        if result not in (OrderResult.ACCEPTED, OrderResult.HOLDS):
+        if result not in (OrderResult.ACCEPTED, OrderResult.ALREADY_APPLIED):
             return False
         if not self._until(lambda report: name not in report.resident, UNLOAD_LIMIT_SECONDS):
             return False
@@ -221,7 +221,7 @@
             time.sleep(ADAPTER_AWAY_SECONDS)
         for unit in evicted:
             result = self._order(Unload(unit))
-            if result is not OrderResult.HOLDS:
+            if result is not OrderResult.ALREADY_APPLIED:
                 # A request still uses it: it goes later, and its place isn't free yet.
                 return False
             if self.ledger.report is None:
@@ -230,7 +230,7 @@
         if not self.ledger.has_room(task.unit):
             log_event("adapter_has_no_room", upstream=self.upstream.id, unit=task.unit)
             return False
-        if self._order(Load(task.unit)) not in (OrderResult.ACCEPTED, OrderResult.HOLDS):
+        if self._order(Load(task.unit)) not in (OrderResult.ACCEPTED, OrderResult.ALREADY_APPLIED):
             return False
         time.sleep(ADAPTER_SECONDS)
         self.ledger.note_adapter(task.unit, resident=True)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
@@ -148,7 +148,7 @@
     worker.resident["a"] = frozenset({"x", "z"})
     # The adapter to drop has just gone: the worker counts no order, the ledger does, and the
     # load after it, which gets no answer, may be accepted after the next order.
-    worker.results = [OrderResult.HOLDS, OrderResult.UNKNOWN]
+    worker.results = [OrderResult.ALREADY_APPLIED, OrderResult.UNKNOWN]
     carry_out(orders, AdapterTask(Unit("a", "y"), (Unit("a", "z"),)))
     worker.resident["a"] = frozenset({"x"})
     carry_out(orders, AdapterTask(Unit("a", "w"), ()))
@@ -164,7 +164,7 @@
 def test_unload_of_an_adapter_that_may_have_gone_is_not_counted(orders, worker):
     # Guards against orders that name a number which the worker has not come to yet.
     worker.resident["a"] = frozenset({"x", "z"})
-    worker.results = [OrderResult.UNKNOWN, OrderResult.HOLDS]
+    worker.results = [OrderResult.UNKNOWN, OrderResult.ALREADY_APPLIED]
     for _ in range(2):
         carry_out(orders, AdapterTask(Unit("a", "w"), (Unit("a", "z"),)))
     worker.resident["a"] = frozenset({"x"})
