--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_choice.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_choice.py
@@ -6,10 +6,10 @@
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
 # An adapter that makes room may be asked for again, as if some requests more ran there.
-FULL_COST = 10
+EVICTION_COST_REQUESTS = 10
 
 
-def adapter_worker(unit: Unit, views: Sequence[WorkerView], slots: int) -> WorkerView | None:
+def choose_worker(unit: Unit, views: Sequence[WorkerView], slots: int) -> WorkerView | None:
     """Return the worker at which ``unit``'s adapter is best loaded, None without a place.
 
     Only an adapter that no request uses makes room: the order to drop another one
@@ -27,4 +27,4 @@
 
 def _adapter_cost(view: WorkerView, slots: int) -> float:
     full = len(view.adapters()) >= slots
-    return view.requests + len(view.adapters()) + (FULL_COST if full else 0)
+    return view.requests + len(view.adapters()) + (EVICTION_COST_REQUESTS if full else 0)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
@@ -6,7 +6,7 @@
 
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
-from redwingscale_daemon._internal.swaps.adapter_choice import adapter_worker
+from redwingscale_daemon._internal.swaps.adapter_choice import choose_worker
 from redwingscale_daemon._internal.swaps.adapter_spread import AdapterSpread
 from redwingscale_daemon._internal.swaps.demand import Demand, WaitingUnit
 from redwingscale_daemon._internal.swaps.tasks import AdapterTask
@@ -15,7 +15,7 @@
 
 # A further holder of a busy adapter takes the place of one that is asked for less than
 # this part as often: each request for that one waits for it to come back.
-COLD_PART = 0.3
+MAX_EVICTED_RATE_FRACTION = 0.3
 
 
 class AdapterOrders:
@@ -26,30 +26,30 @@
         self._workers = workers
         self._spread = AdapterSpread()
 
-    def bring(self, waiting: WaitingUnit, engine: EngineRule, views: list[WorkerView]) -> None:
+    def load_waiting(self, waiting: WaitingUnit, engine: EngineRule, views: list[WorkerView]) -> None:
         """Load an adapter that requests wait for, if a worker has a place for it."""
-        view = adapter_worker(waiting.unit, views, engine.adapter_slots)
+        view = choose_worker(waiting.unit, views, engine.adapter_slots)
         if view is not None:
-            self._give(waiting.service, waiting.unit, engine, view, waiting.requests)
+            self._start_load(waiting.service, waiting.unit, engine, view, waiting.requests)
 
-    def spread(
+    def load_extra_copies(
         self, service: str, engine: EngineRule, views: Callable[[str], list[WorkerView]]
     ) -> None:
         """Load adapters whose holders are too busy at calmer copies of their models."""
         overloaded = self._demand.overloaded_adapters(service)
         if not overloaded:
             return
-        for copy in self._spread.copies(overloaded, views(service), engine.adapter_slots):
+        for copy in self._spread.choose_copies(overloaded, views(service), engine.adapter_slots):
             self._demand.clear_overload(service, copy.unit)
-            evicted = self._coldest(service, engine, copy.view)
-            asked = self._demand.rate(service, copy.unit)
-            if all(self._demand.rate(service, one) < asked * COLD_PART for one in evicted):
-                self._give(service, copy.unit, engine, copy.view, 0)
+            evicted = self._least_requested(service, engine, copy.view)
+            requested = self._demand.rate(service, copy.unit)
+            if all(self._demand.rate(service, one) < requested * MAX_EVICTED_RATE_FRACTION for one in evicted):
+                self._start_load(service, copy.unit, engine, copy.view, 0)
 
-    def _give(
+    def _start_load(
         self, service: str, unit: Unit, engine: EngineRule, view: WorkerView, waiting: float
     ) -> None:
-        evicted = self._coldest(service, engine, view)
+        evicted = self._least_requested(service, engine, view)
         log_event(
             "adapter_planned",
             upstream=view.upstream.id,
@@ -59,7 +59,7 @@
         )
         self._workers.give(view.upstream.id, AdapterTask(unit, evicted))
 
-    def _coldest(self, service: str, engine: EngineRule, view: WorkerView) -> tuple[Unit, ...]:
+    def _least_requested(self, service: str, engine: EngineRule, view: WorkerView) -> tuple[Unit, ...]:
         """Return what makes room for one more adapter: those that are asked for least."""
         excess = max(0, len(view.adapters()) + 1 - engine.adapter_slots)
         idle = view.idle_adapters()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
@@ -5,14 +5,14 @@
 from typing import NamedTuple
 
 from redwingscale_daemon._internal.fleet.unit import Unit
-from redwingscale_daemon._internal.swaps.adapter_choice import adapter_worker
+from redwingscale_daemon._internal.swaps.adapter_choice import choose_worker
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
 # One more holder relieves the others at once, but what waits at them already is late.
-REST_SECONDS = 1.0
+COPY_INTERVAL_SECONDS = 1.0
 # The new holder has at most this part of the requests of the calmest one so far.
-CALMER_PART = 0.6
-MOST_EACH_PLAN = 6
+MAX_LOAD_FRACTION = 0.6
+MAX_COPIES_PER_PLAN = 6
 
 
 class AdapterCopy(NamedTuple):
@@ -31,35 +31,35 @@
     """
 
     def __init__(self) -> None:
-        self._given_at: dict[Unit, float] = {}
+        self._copied_at: dict[Unit, float] = {}
 
-    def copies(
+    def choose_copies(
         self, overloaded: Iterable[Unit], views: Sequence[WorkerView], slots: int
     ) -> list[AdapterCopy]:
         """Return what to load for adapters whose requests were ``missed``, most missed first."""
         now = time.monotonic()
-        self._given_at = {
-            unit: at for unit, at in self._given_at.items() if now - at < REST_SECONDS
+        self._copied_at = {
+            unit: at for unit, at in self._copied_at.items() if now - at < COPY_INTERVAL_SECONDS
         }
         free = [*views]
         chosen: list[AdapterCopy] = []
         for unit in overloaded:
-            if len(chosen) == MOST_EACH_PLAN:
+            if len(chosen) == MAX_COPIES_PER_PLAN:
                 break
-            view = None if unit in self._given_at else _calmer(unit, free, views, slots)
+            view = None if unit in self._copied_at else _choose_less_loaded(unit, free, views, slots)
             if view is not None:
-                self._given_at[unit] = now
+                self._copied_at[unit] = now
                 free.remove(view)
                 chosen.append(AdapterCopy(unit, view))
         return chosen
 
 
-def _calmer(
+def _choose_less_loaded(
     unit: Unit, free: Sequence[WorkerView], views: Sequence[WorkerView], slots: int
 ) -> WorkerView | None:
     holders = [view for view in views if unit.adapter in view.resident.get(unit.model, ())]
     if not holders:
         return None
-    most = min(view.requests for view in holders) * CALMER_PART
-    calm = [view for view in free if view.requests <= most and view not in holders]
-    return adapter_worker(unit, calm, slots)
+    max_requests = min(view.requests for view in holders) * MAX_LOAD_FRACTION
+    less_loaded = [view for view in free if view.requests <= max_requests and view not in holders]
+    return choose_worker(unit, less_loaded, slots)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -210,11 +210,11 @@
             if any(_has_resident(view, waiting.unit) for view in views):
                 continue
             if any(model in view.resident for view in views):
-                self._adapters.bring(waiting, engine, views)
+                self._adapters.load_waiting(waiting, engine, views)
         table = self._routes.get()
         for name, service in table.services_by_name.items() if table else ():
             if service.engine is not None:
-                self._adapters.spread(name, service.engine, self._views)
+                self._adapters.load_extra_copies(name, service.engine, self._views)
                 self._swap_models(name, service.engine)
 
     def _swap_models(self, service: str, engine: EngineRule) -> None:
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
@@ -34,7 +34,7 @@
 
 def late(clock, seconds, holders, spread, demand, copies, per_second):
     """Play ``per_second`` requests for one adapter; return the part that was late."""
-    late_ones = sent = 0
+    late_total = sent = 0
     for _ in range(int(seconds / STEP_SECONDS)):
         clock[0] += STEP_SECONDS
         arrivals = int(per_second * STEP_SECONDS)
@@ -47,11 +47,11 @@
             view(f"u{n}", busy if n in holders else 1, *(["a1"] if n in holders else []))
             for n in range(copies)
         ]
-        for copy in spread.copies(demand.overloaded_adapters(SERVICE), views, SLOTS):
+        for copy in spread.choose_copies(demand.overloaded_adapters(SERVICE), views, SLOTS):
             demand.clear_overload(SERVICE, copy.unit)
             holders.add(int(copy.view.upstream.id[1:]))
-        late_ones, sent = late_ones + overloads, sent + arrivals
-    return late_ones / sent
+        late_total, sent = late_total + overloads, sent + arrivals
+    return late_total / sent
 
 
 def test_a_busy_adapter_gets_as_many_holders_as_its_callers_need(clock):
@@ -71,10 +71,10 @@
 
 def test_no_copy_goes_to_a_worker_as_busy_as_the_holder(clock):
     views = [view("u0", 10, "a1"), view("u1", 9), view("u2", 8)]
-    assert AdapterSpread().copies([UNIT], views, SLOTS) == []
+    assert AdapterSpread().choose_copies([UNIT], views, SLOTS) == []
 
 
 def test_a_worker_gets_one_order_a_plan(clock):
     views = [view("u0", 10, "a1", "a2"), view("u1", 1)]
-    chosen = AdapterSpread().copies([UNIT, Unit("a", "a2")], views, SLOTS)
+    chosen = AdapterSpread().choose_copies([UNIT, Unit("a", "a2")], views, SLOTS)
     assert [copy.unit for copy in chosen] == [UNIT]
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
@@ -4,7 +4,7 @@
 
 import pytest
 from redwingscale_daemon._internal.fleet.unit import Unit
-from redwingscale_daemon._internal.swaps.adapter_choice import adapter_worker
+from redwingscale_daemon._internal.swaps.adapter_choice import choose_worker
 from redwingscale_daemon._internal.swaps.demand import Demand, WaitingUnit
 from redwingscale_daemon._internal.swaps.planner import Planner
 from redwingscale_daemon._internal.swaps.room import load_time, used_mb
@@ -138,7 +138,7 @@
 
 def test_adapter_goes_where_a_place_is_free(engine):
     full = view("u0", "a")._replace(resident={"a": frozenset({"x", "y"})})
-    chosen = adapter_worker(Unit("a", "z"), [full, view("u1", "a")], engine.adapter_slots)
+    chosen = choose_worker(Unit("a", "z"), [full, view("u1", "a")], engine.adapter_slots)
     assert chosen.upstream.id == "u1"
 
 
@@ -147,9 +147,9 @@
     # end: for seconds the worker takes no other order, while new ones keep coming.
     used = {Unit("a", "x"): 1, Unit("a", "y"): 2}
     full = view("u0", "a")._replace(resident={"a": frozenset({"x", "y"})}, open_by_unit=used)
-    assert adapter_worker(Unit("a", "z"), [full], engine.adapter_slots) is None
+    assert choose_worker(Unit("a", "z"), [full], engine.adapter_slots) is None
     idle = full._replace(open_by_unit={Unit("a", "x"): 1})
-    assert adapter_worker(Unit("a", "z"), [idle], engine.adapter_slots) is idle
+    assert choose_worker(Unit("a", "z"), [idle], engine.adapter_slots) is idle
     assert idle.idle_adapters() == [Unit("a", "y")]
 
 
