--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -222,7 +222,7 @@
         planner = Planner(service, engine, self._demand)
         for _ in range(MOST_SWAPS_A_STEP):
             views = self._views(service)
-            waiting = self._service_views.missing(service, engine, views, self._totals)
+            waiting = self._service_views.missing_models(service, engine, views, self._totals)
             cold_allowed = self._rate.free(self._ceiling(engine))
             swap = planner.best_swap(waiting, views, cold_allowed=cold_allowed)
             if swap is None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/carried_models.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limited_views.py
@@ -8,13 +8,13 @@
 
 # Of the limit of an upstream, what its models may be asked for on average:
 # requests come unevenly.
-CARRIED_PART = 0.7
+USABLE_LIMIT_FRACTION = 0.7
 
 
-def with_carried_models(
+def limit_resident_models(
     views: Sequence[WorkerView],
     limits_by_id: Mapping[str, float],
-    asked: Callable[[str], float],
+    rate_of: Callable[[str], float],
     waiting: Collection[Unit],
 ) -> list[WorkerView]:
     """Return ``views`` in which upstreams with a limit hold only what they can serve.
@@ -24,19 +24,19 @@
     missing, so that they are loaded elsewhere. It gets no orders: they would take the
     place of requests. Where all have limits, they are planned for as they are.
     """
-    sound = [view for view in views if view.upstream.id not in limits_by_id]
-    if not sound:
+    unlimited = [view for view in views if view.upstream.id not in limits_by_id]
+    if not unlimited:
         return list(views)
-    elsewhere = {name for view in sound for name in [*view.resident, view.loading]}
+    elsewhere = {name for view in unlimited for name in [*view.resident, view.loading]}
     missing = {unit.model for unit in waiting if unit.adapter and not _is_resident(unit, views)}
     limited = [view for view in views if view.upstream.id in limits_by_id]
-    return sound + [
+    return unlimited + [
         view._replace(
             free=False,
-            resident=_carried(
+            resident=_served_within_limit(
                 {name: adapters for name, adapters in view.resident.items() if name not in missing},
                 elsewhere,
-                asked,
+                rate_of,
                 limits_by_id[view.upstream.id],
             ),
         )
@@ -44,20 +44,17 @@
     ]
 
 
-def _carried(
-    resident: AdaptersByModel,
-    elsewhere: Collection[str],
-    asked: Callable[[str], float],
-    per_second: float,
+def _served_within_limit(
+    resident: AdaptersByModel, elsewhere: Collection[str], rate_of: Callable[[str], float], per_second: float
 ) -> AdaptersByModel:
-    left = per_second * CARRIED_PART
-    carried = {}
-    for name in sorted(resident.keys() - elsewhere, key=asked):
-        left -= asked(name)
+    left = per_second * USABLE_LIMIT_FRACTION
+    served = {}
+    for name in sorted(resident.keys() - elsewhere, key=rate_of):
+        left -= rate_of(name)
         if left < 0:
             break
-        carried[name] = resident[name]
-    return carried
+        served[name] = resident[name]
+    return served
 
 
 def _is_resident(unit: Unit, views: Sequence[WorkerView]) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
@@ -5,14 +5,14 @@
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
-from redwingscale_daemon._internal.swaps.carried_models import with_carried_models
+from redwingscale_daemon._internal.swaps.rate_limited_views import limit_resident_models
 from redwingscale_daemon._internal.swaps.demand import Demand, WaitingUnit
 from redwingscale_daemon._internal.swaps.instance_totals import Totals
 from redwingscale_daemon._internal.swaps.worker_pool import WorkerPool
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
 # One refused request in some seconds is no reason for a load.
-LEAST_REFUSED_PER_SECOND = 0.2
+MIN_REFUSED_PER_SECOND = 0.2
 
 
 class ServiceViews:
@@ -36,14 +36,14 @@
         limits_by_id = self._limits_by_id()
         if not limits_by_id:
             return views
-        return with_carried_models(
+        return limit_resident_models(
             views,
             limits_by_id,
             lambda model: self._demand.model_rate(service, model),
             [one.unit for one in self._demand.waiting() if one.service == service],
         )
 
-    def missing(
+    def missing_models(
         self, service: str, engine: EngineRule, views: Sequence[WorkerView], totals: Totals
     ) -> list[WaitingUnit]:
         """Return what requests miss that is at none of ``views`` and on no way there.
@@ -60,10 +60,10 @@
         ]
         if not self._limits_by_id() and not totals.rejecting:
             return waiting
-        known = present | {one.unit.model for one in waiting}
+        counted = present | {one.unit.model for one in waiting}
         refused = [
             WaitingUnit(service, Unit(name), rate, 0.0)
-            for name in engine.models_by_name.keys() - known
-            if (rate := self._demand.overload_rate(service, name)) >= LEAST_REFUSED_PER_SECOND
+            for name in engine.models_by_name.keys() - counted
+            if (rate := self._demand.overload_rate(service, name)) >= MIN_REFUSED_PER_SECOND
         ]
         return waiting + refused
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_carried_models.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_rate_limited_views.py
@@ -4,14 +4,14 @@
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
-from redwingscale_daemon._internal.swaps.carried_models import with_carried_models
+from redwingscale_daemon._internal.swaps.rate_limited_views import limit_resident_models
 from redwingscale_daemon._internal.swaps.demand import Demand
 from redwingscale_daemon._internal.swaps.instance_totals import NO_TOTALS
 from redwingscale_daemon._internal.swaps.messages import DemandEntry, InstanceUpdate
 from redwingscale_daemon._internal.swaps.service_views import ServiceViews
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-ASKED = {"busy": 4.0, "calm": 0.5, "rare": 0.1, "shared": 2.0}
+RATES_BY_MODEL = {"busy": 4.0, "calm": 0.5, "rare": 0.1, "shared": 2.0}
 
 
 def view(name, **resident):
@@ -28,7 +28,7 @@
 
 
 def planned(views, rates_by_id, waiting=()):
-    made = with_carried_models(views, rates_by_id, ASKED.__getitem__, waiting)
+    made = limit_resident_models(views, rates_by_id, RATES_BY_MODEL.__getitem__, waiting)
     return {one.upstream.id: (sorted(one.resident), one.free) for one in made}
 
 
@@ -55,8 +55,8 @@
     demand = Demand()
     refused = DemandEntry("llm", "busy", "", 8, 0, 0.0, overloads=8)
     demand.receive(InstanceUpdate("i0", [refused], [], [], []))
-    engine = EngineRule(64, 100_000, 200.0, 8, 1.0, dict.fromkeys(ASKED))
-    found = ServiceViews(None, None, demand, lambda: rates_by_id).missing(
+    engine = EngineRule(64, 100_000, 200.0, 8, 1.0, dict.fromkeys(RATES_BY_MODEL))
+    found = ServiceViews(None, None, demand, lambda: rates_by_id).missing_models(
         "llm", engine, views, totals
     )
     return [one.unit.model for one in found]
@@ -64,7 +64,7 @@
 
 def test_model_whose_requests_are_refused_at_once_is_missed(views):
     # Guards against a model that is loaded nowhere, as none of its requests wait.
-    limited = with_carried_models(views, {"w": 1.0}, ASKED.__getitem__, ())
+    limited = limit_resident_models(views, {"w": 1.0}, RATES_BY_MODEL.__getitem__, ())
     assert missing({"w": 1.0}, limited) == ["busy"]
     assert missing({}, views) == []
     assert missing({}, views[:1], NO_TOTALS._replace(rejecting={"w"})) == ["busy"]
