--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
@@ -12,30 +12,30 @@
     Demand,
     WaitingUnit,
 )
-from redwingscale_daemon._internal.swaps.evictions import HORIZON_SECONDS, Eviction, Evictions
+from redwingscale_daemon._internal.swaps.evictions import DEMAND_HORIZON_SECONDS, Eviction, Evictions
 from redwingscale_daemon._internal.swaps.room import load_time
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
 # A model that is at hand at some worker comes back within about a second.
-AT_HAND_PART = 0.4
+LOCAL_COPY_FRACTION = 0.4
 # The part of the requests that a further copy takes over which is in time for it.
-RELIEF_PART = 0.5
+EXTRA_COPY_IN_TIME_FRACTION = 0.5
 # The part of a busy model's requests that a second holder saves in the long run, by the
 # crashes of only holders.
-SINGLE_PART = 0.08
+SINGLE_HOLDER_RISK_FRACTION = 0.08
 # Prompts of half a second and of a tenth wait to be read at such a worker.
-CROWDED_PROMPT_TOKENS = 12_000
-CALM_PROMPT_TOKENS = 2_500
+OVERLOADED_PROMPT_TOKENS = 12_000
+LIGHT_LOAD_PROMPT_TOKENS = 2_500
 # In requests: a load keeps a worker from other orders, and its weights take a place in
 # the rate of the weight store.
-LOAD_SECOND = 0.8
+LOAD_COST_PER_SECOND = 0.8
 # A model that is asked for now and then, and must come from the weight store, never
 # pays by its requests alone: each second that they ask in vain counts as part of
 # one. After some 15 seconds it comes in, at the cost of a model that rests.
-MISSING_SECOND = 0.2
-MOST_OVERDUE = 6.0
+OVERDUE_REQUESTS_PER_SECOND = 0.2
+MAX_OVERDUE_REQUESTS = 6.0
 # Each plan weighs each wish at each worker; one of the best is enough for one swap.
-MOST_COVERAGE_WISHES = 24
+MAX_COVERAGE_PROPOSALS = 24
 
 
 class Swap(NamedTuple):
@@ -52,7 +52,7 @@
     net_gain: float
 
 
-class _Wish(NamedTuple):
+class _Proposal(NamedTuple):
     """A copy of ``model`` that would serve ``gain`` requests, by the seconds of its load.
 
     A ``spare_only`` one takes the place of copies that another worker holds as
@@ -62,7 +62,7 @@
     model: ModelRule
     gain: Callable[[float], float]
     spare_only: bool = False
-    calm_only: bool = False
+    lightly_loaded_only: bool = False
 
 
 class Planner:
@@ -83,12 +83,12 @@
         What may be asked for later comes after it.
         """
         evictions = self._evictions(views)
-        asked = [
-            *(wish for one in waiting if (wish := self._waiting_wish(one)) is not None),
-            *self._relief_wishes(evictions, views),
+        current = [
+            *(proposal for one in waiting if (proposal := self._waiting_proposal(one)) is not None),
+            *self._extra_copy_proposals(evictions, views),
         ]
-        return _best(asked, evictions, views, cold_allowed=cold_allowed) or _best(
-            self._coverage_wishes(evictions, views), evictions, views, cold_allowed=cold_allowed
+        return _choose_best(current, evictions, views, cold_allowed=cold_allowed) or _choose_best(
+            self._coverage_proposals(evictions, views), evictions, views, cold_allowed=cold_allowed
         )
 
     def swap_for(
@@ -100,9 +100,9 @@
         request has waited: another one is free soon, and what is dropped here
         would be asked for again at once.
         """
-        wish = self._waiting_wish(waiting)
-        wishes = [wish] if wish else []
-        return _best(wishes, self._evictions(views), views, cold_allowed=cold_allowed)
+        proposal = self._waiting_proposal(waiting)
+        proposals = [proposal] if proposal else []
+        return _choose_best(proposals, self._evictions(views), views, cold_allowed=cold_allowed)
 
     def coverage_swap(self, views: Sequence[WorkerView], *, cold_allowed: bool) -> Swap | None:
         """Return a swap that brings in a model that nobody holds, where it pays.
@@ -111,62 +111,62 @@
         models fit, each would else drive another one out for ever.
         """
         evictions = self._evictions(views)
-        wishes = self._coverage_wishes(evictions, views)
-        return _best(wishes, evictions, views, cold_allowed=cold_allowed)
+        proposals = self._coverage_proposals(evictions, views)
+        return _choose_best(proposals, evictions, views, cold_allowed=cold_allowed)
 
-    def relief_swap(self, views: Sequence[WorkerView], *, cold_allowed: bool) -> Swap | None:
+    def extra_copy_swap(self, views: Sequence[WorkerView], *, cold_allowed: bool) -> Swap | None:
         """Return a swap that adds a copy of a model that needs one.
 
         Either its holders are overloaded, or a busy model has one holder only: a
         crash of that one would cost all its requests for the time of a load.
         """
         evictions = self._evictions(views)
-        wishes = self._relief_wishes(evictions, views)
-        return _best(wishes, evictions, views, cold_allowed=cold_allowed)
+        proposals = self._extra_copy_proposals(evictions, views)
+        return _choose_best(proposals, evictions, views, cold_allowed=cold_allowed)
 
     def _evictions(self, views: Sequence[WorkerView]) -> Evictions:
         return Evictions(self._service, self._engine, self._demand, views)
 
-    def _waiting_wish(self, waiting: WaitingUnit) -> _Wish | None:
+    def _waiting_proposal(self, waiting: WaitingUnit) -> _Proposal | None:
         rule = self._engine.models_by_name.get(waiting.unit.model)
         if rule is None:
             return None
         expected = self._expected(rule.name)
         missing = self._demand.missing_seconds(self._service, rule.name, resident=False)
-        overdue = min(MOST_OVERDUE, missing * MISSING_SECOND)
+        overdue = min(MAX_OVERDUE_REQUESTS, missing * OVERDUE_REQUESTS_PER_SECOND)
 
         def gain(load_seconds: float) -> float:
             in_time = waiting.max_wait_seconds > load_seconds
             return expected + overdue + (waiting.requests if in_time else 0)
 
-        return _Wish(rule, gain)
+        return _Proposal(rule, gain)
 
-    def _coverage_wishes(self, evictions: Evictions, views: Sequence[WorkerView]) -> list[_Wish]:
-        at_hand = frozenset().union(*(v.upstream.in_memory | v.upstream.on_disk for v in views))
+    def _coverage_proposals(self, evictions: Evictions, views: Sequence[WorkerView]) -> list[_Proposal]:
+        local = frozenset().union(*(v.upstream.in_memory | v.upstream.on_disk for v in views))
 
-        def wish(name: str, rule: ModelRule) -> _Wish:
+        def proposal(name: str, rule: ModelRule) -> _Proposal:
             value = self._demand.baseline_requests(self._service, name) + self._expected(name)
-            value *= AT_HAND_PART if name in at_hand else 1.0
-            return _Wish(rule, lambda _: value, spare_only=True)
+            value *= LOCAL_COPY_FRACTION if name in local else 1.0
+            return _Proposal(rule, lambda _: value, spare_only=True)
 
-        wishes = [
-            wish(name, rule)
+        proposals = [
+            proposal(name, rule)
             for name, rule in self._engine.models_by_name.items()
             if name not in evictions.holders
         ]
-        return nlargest(MOST_COVERAGE_WISHES, wishes, key=lambda one: one.gain(0.0))
+        return nlargest(MAX_COVERAGE_PROPOSALS, proposals, key=lambda one: one.gain(0.0))
 
-    def _relief_wishes(self, evictions: Evictions, views: Sequence[WorkerView]) -> list[_Wish]:
-        def wish(name: str) -> _Wish:
-            value = self._relief_gain(name, evictions.holders[name], coming.get(name, 0.0), views)
-            return _Wish(self._engine.models_by_name[name], lambda _: value, calm_only=True)
+    def _extra_copy_proposals(self, evictions: Evictions, views: Sequence[WorkerView]) -> list[_Proposal]:
+        def proposal(name: str) -> _Proposal:
+            value = self._extra_copy_gain(name, evictions.holders[name], arriving.get(name, 0.0), views)
+            return _Proposal(self._engine.models_by_name[name], lambda _: value, lightly_loaded_only=True)
 
-        coming = _coming_copies(views)
-        wishes = [wish(name) for name in evictions.holders if name in self._engine.models_by_name]
-        return [one for one in wishes if one.gain(0.0) > 0]
+        arriving = _arriving_copies(views)
+        proposals = [proposal(name) for name in evictions.holders if name in self._engine.models_by_name]
+        return [one for one in proposals if one.gain(0.0) > 0]
 
-    def _relief_gain(
-        self, name: str, holders: int, coming: float, views: Sequence[WorkerView]
+    def _extra_copy_gain(
+        self, name: str, holders: int, arriving: float, views: Sequence[WorkerView]
     ) -> float:
         """Return what one more copy gains beside ``holders``, ``coming`` of them on their way.
 
@@ -176,39 +176,39 @@
         as long as those on their way would not take over all that is missed.
         """
         expected = self._expected(name)
-        taken_over = self._demand.recent_rate(self._service, name) * coming / holders
-        left = max(0.0, self._demand.overload_rate(self._service, name) - taken_over)
-        missed = left * HORIZON_SECONDS * RELIEF_PART
-        if coming >= 1:
-            return missed
-        crowded = all(v.prompt_tokens > CROWDED_PROMPT_TOKENS for v in views if name in v.resident)
-        relieved = expected / (holders + 1) * RELIEF_PART if crowded else 0.0
-        single = expected * SINGLE_PART if holders == 1 else 0.0
-        return max(missed, relieved, single)
+        absorbed = self._demand.recent_rate(self._service, name) * arriving / holders
+        unabsorbed = max(0.0, self._demand.overload_rate(self._service, name) - absorbed)
+        overload_gain = unabsorbed * DEMAND_HORIZON_SECONDS * EXTRA_COPY_IN_TIME_FRACTION
+        if arriving >= 1:
+            return overload_gain
+        overloaded = all(v.prompt_tokens > OVERLOADED_PROMPT_TOKENS for v in views if name in v.resident)
+        shared_gain = expected / (holders + 1) * EXTRA_COPY_IN_TIME_FRACTION if overloaded else 0.0
+        single_holder_gain = expected * SINGLE_HOLDER_RISK_FRACTION if holders == 1 else 0.0
+        return max(overload_gain, shared_gain, single_holder_gain)
 
     def _expected(self, name: str) -> float:
-        return self._demand.model_rate(self._service, name) * HORIZON_SECONDS
+        return self._demand.model_rate(self._service, name) * DEMAND_HORIZON_SECONDS
 
 
-def _coming_copies(views: Sequence[WorkerView]) -> dict[str, float]:
+def _arriving_copies(views: Sequence[WorkerView]) -> dict[str, float]:
     """Return how many copies of each model are on their way, or were so lately.
 
     What was missed before a copy came fades from the demand in some seconds. The copy
     counts as coming for as long: further ones would else be loaded for those misses.
     """
     now = time.monotonic()
-    coming: dict[str, float] = defaultdict(float)
+    arriving: dict[str, float] = defaultdict(float)
     for view in views:
         if view.loading:
-            coming[view.loading] += 1.0
+            arriving[view.loading] += 1.0
         for name, settled_at in view.settled_at.items():
             if name in view.resident:
-                coming[name] += 0.5 ** ((now - settled_at) / RECENT_HALF_LIFE_SECONDS)
-    return coming
+                arriving[name] += 0.5 ** ((now - settled_at) / RECENT_HALF_LIFE_SECONDS)
+    return arriving
 
 
-def _best(
-    wishes: Iterable[_Wish],
+def _choose_best(
+    proposals: Iterable[_Proposal],
     evictions: Evictions,
     views: Sequence[WorkerView],
     *,
@@ -216,23 +216,23 @@
 ) -> Swap | None:
     """Return the swap that gains most beyond its loss and its load, if any does."""
     priced = [
-        (wish.gain(seconds) - eviction.loss - seconds * LOAD_SECOND, wish, view, eviction)
-        for wish in wishes
+        (proposal.gain(seconds) - eviction.loss - seconds * LOAD_COST_PER_SECOND, proposal, view, eviction)
+        for proposal in proposals
         for view in views
-        if (eviction := _eviction(wish, view, evictions)) is not None
-        for seconds, cold in [load_time(wish.model, view)]
+        if (eviction := _choose_eviction(proposal, view, evictions)) is not None
+        for seconds, cold in [load_time(proposal.model, view)]
         if cold_allowed or not cold
     ]
     best = max(priced, key=lambda option: option[0], default=None)
     if best is None or best[0] <= 0:
         return None
-    net_gain, wish, view, eviction = best
-    return Swap(view, wish.model, eviction.models, *load_time(wish.model, view), net_gain)
+    net_gain, proposal, view, eviction = best
+    return Swap(view, proposal.model, eviction.models, *load_time(proposal.model, view), net_gain)
 
 
-def _eviction(wish: _Wish, view: WorkerView, evictions: Evictions) -> Eviction | None:
-    if not view.free or wish.model.name in view.resident:
+def _choose_eviction(proposal: _Proposal, view: WorkerView, evictions: Evictions) -> Eviction | None:
+    if not view.free or proposal.model.name in view.resident:
         return None
-    if wish.calm_only and view.prompt_tokens >= CALM_PROMPT_TOKENS:
+    if proposal.lightly_loaded_only and view.prompt_tokens >= LIGHT_LOAD_PROMPT_TOKENS:
         return None
-    return evictions.cheapest(view, wish.model.weights_mb, spare_only=wish.spare_only)
+    return evictions.cheapest(view, proposal.model.weights_mb, spare_only=proposal.spare_only)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
@@ -55,10 +55,10 @@
     # of the busy one's only copy.
     views = [view("u0", "a", "b")]
     unaware = Planner(SERVICE, engine, Demand())
-    assert unaware.relief_swap([*views, view("u1", "c")], cold_allowed=True) is None
+    assert unaware.extra_copy_swap([*views, view("u1", "c")], cold_allowed=True) is None
     demand = Demand()
     demand.receive(introduction(told))
     aware = Planner(SERVICE, engine, demand)
-    swap = aware.relief_swap([*views, view("u1", "c")], cold_allowed=True)
+    swap = aware.extra_copy_swap([*views, view("u1", "c")], cold_allowed=True)
     assert swap is not None
     assert swap.model.name == "a"
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
@@ -125,7 +125,7 @@
     for _ in range(10):
         demand.receive(update(a=10))
     views = [view("u0", "a", "b", prompt_tokens=20_000), view("u1", "c")]
-    swap = planner.relief_swap(views, cold_allowed=True)
+    swap = planner.extra_copy_swap(views, cold_allowed=True)
     assert (swap.model.name, swap.view.upstream.id) == ("a", "u1")
 
 
