--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -163,9 +163,7 @@
             return
         for service in table.services_by_name.values():
             if service.engine is not None:
-                self._rate.succeed(
-                    self._ceiling(service.engine), self._authority.handover_pause_seconds
-                )
+                self._rate.assume_full_window(self._ceiling(service.engine), self._authority.handover_pause_seconds)
 
     def _ceiling(self, engine: EngineRule) -> LoadCeiling:
         return self._window._replace(per_second=engine.cold_loads_per_second)
@@ -223,7 +221,7 @@
         for _ in range(MOST_SWAPS_A_STEP):
             views = self._views(service)
             waiting = self._service_views.missing_models(service, engine, views, self._totals)
-            cold_allowed = self._rate.free(self._ceiling(engine))
+            cold_allowed = self._rate.allows_load(self._ceiling(engine))
             swap = planner.best_swap(waiting, views, cold_allowed=cold_allowed)
             if swap is None:
                 return
@@ -243,7 +241,7 @@
             patience=round(max((one.max_wait_seconds for one in asking), default=0.0), 2),
         )
         if swap.cold:
-            self._rate.begin()
+            self._rate.count_load()
         task = SwapTask(swap.evicted, swap.model.name, swap.load_seconds)
         self._workers.give(swap.view.upstream.id, task)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/load_rate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/load_rate.py
@@ -18,9 +18,9 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._begun: deque[float] = deque()
+        self._started_at: deque[float] = deque()
 
-    def succeed(self, ceiling: LoadCeiling, handover_pause_seconds: float) -> None:
+    def assume_full_window(self, ceiling: LoadCeiling, handover_pause_seconds: float) -> None:
         """Act as if the giver before had begun a full window of loads at its end.
 
         A new giver doesn't know what loads are under way: granting a window of
@@ -28,17 +28,17 @@
         """
         ended = time.monotonic() - handover_pause_seconds
         with self._lock:
-            self._begun.extend([ended] * int(ceiling.per_second * ceiling.window_seconds))
+            self._started_at.extend([ended] * int(ceiling.per_second * ceiling.window_seconds))
 
-    def free(self, ceiling: LoadCeiling) -> bool:
+    def allows_load(self, ceiling: LoadCeiling) -> bool:
         """Return whether one more load may begin now."""
         now = time.monotonic()
         with self._lock:
-            while self._begun and self._begun[0] < now - ceiling.window_seconds:
-                self._begun.popleft()
-            return len(self._begun) + 1 <= ceiling.per_second * ceiling.window_seconds
+            while self._started_at and self._started_at[0] < now - ceiling.window_seconds:
+                self._started_at.popleft()
+            return len(self._started_at) + 1 <= ceiling.per_second * ceiling.window_seconds
 
-    def begin(self) -> None:
+    def count_load(self) -> None:
         """Count a load."""
         with self._lock:
-            self._begun.append(time.monotonic())
+            self._started_at.append(time.monotonic())
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_load_rate.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_load_rate.py
@@ -15,28 +15,28 @@
     return now
 
 
-def begin_all(rate):
-    begun = 0
-    while rate.free(CEILING):
-        rate.begin()
-        begun += 1
-    return begun
+def start_all(rate):
+    started = 0
+    while rate.allows_load(CEILING):
+        rate.count_load()
+        started += 1
+    return started
 
 
 def test_a_window_takes_no_more_than_its_rate(clock):
     rate = LoadRate()
-    assert begin_all(rate) == 10
+    assert start_all(rate) == 10
     clock[0] += 4.9
-    assert begin_all(rate) == 0
+    assert start_all(rate) == 0
     clock[0] += 0.2
-    assert begin_all(rate) == 10
+    assert start_all(rate) == 10
 
 
 def test_successor_counts_the_loads_of_the_giver_before(clock):
     # The former giver may have begun a whole window of loads just before its end,
     # three seconds ago: none may begin until these have left the window.
     rate = LoadRate()
-    rate.succeed(CEILING, handover_pause_seconds=3.0)
-    assert begin_all(rate) == 0
+    rate.assume_full_window(CEILING, handover_pause_seconds=3.0)
+    assert start_all(rate) == 0
     clock[0] += 2.1
-    assert begin_all(rate) == 10
+    assert start_all(rate) == 10
