--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -42,22 +42,22 @@
 # Each plan is followed by a rest of four times its length: callers' requests ask for
 # plans at any rate, and on a machine with half a core the plans of 45 workers had
 # taken all of it from the requests that pass through it.
-REST_FACTOR = 4.0
-LEAST_REST_SECONDS = 0.02
+PLAN_PAUSE_FACTOR = 4.0
+MIN_PLAN_PAUSE_SECONDS = 0.02
 # News go to every instance: among many, fewer plans send them. Seventy instances
 # with a message each 20 ms are more than a link of 10 Mbit/s carries.
-REST_SECONDS_EACH = 0.0005
+PLAN_PAUSE_SECONDS_PER_INSTANCE = 0.0005
 # News take at most this part of the machine's link: its renewals at the store and its
 # callers' requests need the rest, and a giver that fills its link loses its lease.
-LINK_PART = 0.4
+UPDATE_LINK_FRACTION = 0.4
 # Instances take a giver that is silent for longer for one that has gone.
-MOST_REST_SECONDS = 0.7
+MAX_PLAN_PAUSE_SECONDS = 0.7
 BITS_PER_MEGABIT = 1e6
 # Each plan weighs every model at every worker again; what is left waits a quarter
 # of a second.
-MOST_SWAPS_A_STEP = 4
+MAX_SWAPS_PER_STEP = 4
 # Others are told another time: instances remember them.
-MOST_PEERS_TOLD = 8
+MAX_PEERS_PER_UPDATE = 8
 
 
 class Leader:
@@ -70,7 +70,7 @@
         directory: UpstreamDirectory,
         client: OrderClient,
         server: LeaderServer,
-        window: LoadCeiling,
+        load_window: LoadCeiling,
         read: Callable[[ListChanges], StoreUpdate],
         link_mbps: float = math.inf,
         use_slack: float = 0.0,
@@ -82,7 +82,7 @@
         self._routes = routes
         self._directory = directory
         self._server = server
-        self._window = window
+        self._load_window = load_window
         self._link_mbps = link_mbps
         # How many instances there were, as far as this one has been told.
         self._known_instances = known_instances
@@ -102,7 +102,7 @@
         self._issuer = issuer or PermitIssuer()
         self._totals = NO_TOTALS
         self._schedule = UpdateSchedule()
-        self._gave_orders = False
+        self._leading = False
         # Not for secrets: it only spreads questions.
         self._random = random.Random()
 
@@ -131,29 +131,29 @@
         self._wake.clear()
         fence = self._authority.fence()
         if fence is None:
-            self._lay_down()
+            self._end_term()
             return None
-        if not self._gave_orders:
-            self._gave_orders = True
-            self._begin(fence)
+        if not self._leading:
+            self._leading = True
+            self._begin_term(fence)
         started = time.monotonic()
         self._totals = self._instances.sum()
-        self._follow_list()
+        self._follow_upstreams()
         self._plan()
-        update = self._tell(fence)
+        update = self._make_update(fence)
         message_bytes = 0 if update is None else self._server.publish(update)
-        took = time.monotonic() - started
-        least = LEAST_REST_SECONDS + len(self._instances) * REST_SECONDS_EACH
-        rest = min(UPDATE_SECONDS, max(least, took * REST_FACTOR))
-        time.sleep(max(rest, self._sending_seconds(message_bytes)))
+        elapsed = time.monotonic() - started
+        min_pause = MIN_PLAN_PAUSE_SECONDS + len(self._instances) * PLAN_PAUSE_SECONDS_PER_INSTANCE
+        pause = min(UPDATE_SECONDS, max(min_pause, elapsed * PLAN_PAUSE_FACTOR))
+        time.sleep(max(pause, self._sending_seconds(message_bytes)))
         return update
 
     def _sending_seconds(self, message_bytes: int) -> float:
         """Return how long a message to all instances takes of the part of the link for it."""
         bits = message_bytes * 8 * len(self._instances)
-        return min(MOST_REST_SECONDS, bits / (self._link_mbps * BITS_PER_MEGABIT * LINK_PART))
+        return min(MAX_PLAN_PAUSE_SECONDS, bits / (self._link_mbps * BITS_PER_MEGABIT * UPDATE_LINK_FRACTION))
 
-    def _begin(self, fence: int) -> None:
+    def _begin_term(self, fence: int) -> None:
         log_event("giver_begins", fence=fence)
         self._use.begin(self._known_instances())
         self._issuer.begin()
@@ -166,19 +166,19 @@
                 self._rate.assume_full_window(self._ceiling(service.engine), self._authority.handover_pause_seconds)
 
     def _ceiling(self, engine: EngineRule) -> LoadCeiling:
-        return self._window._replace(per_second=engine.cold_loads_per_second)
+        return self._load_window._replace(per_second=engine.cold_loads_per_second)
 
-    def _lay_down(self) -> None:
+    def _end_term(self) -> None:
         """Forget what only the order giver knows; another one may change it."""
-        if self._gave_orders:
-            self._gave_orders = False
+        if self._leading:
+            self._leading = False
             self._schedule = UpdateSchedule()
             self._changes = ListChanges()
             self._demand.forget_snapshot_senders()
             log_event("giver_ends")
         self._workers.stop()
 
-    def _follow_list(self) -> None:
+    def _follow_upstreams(self) -> None:
         listed = [one for one in self._directory.all() if self._engine(one.service)]
         if not self._workers:
             self._note_initial_copies(listed)
@@ -218,17 +218,17 @@
     def _swap_models(self, service: str, engine: EngineRule) -> None:
         """Give the swaps that pay, the best one first; each changes what the next one finds."""
         planner = Planner(service, engine, self._demand)
-        for _ in range(MOST_SWAPS_A_STEP):
+        for _ in range(MAX_SWAPS_PER_STEP):
             views = self._views(service)
             waiting = self._service_views.missing_models(service, engine, views, self._totals)
             cold_allowed = self._rate.allows_load(self._ceiling(engine))
             swap = planner.best_swap(waiting, views, cold_allowed=cold_allowed)
             if swap is None:
                 return
-            self._give(swap, waiting)
+            self._start_swap(swap, waiting)
 
-    def _give(self, swap: Swap, waiting: Iterable[WaitingUnit]) -> None:
-        asking = [one for one in waiting if one.unit.model == swap.model.name]
+    def _start_swap(self, swap: Swap, waiting: Iterable[WaitingUnit]) -> None:
+        served = [one for one in waiting if one.unit.model == swap.model.name]
         log_event(
             "swap_planned",
             upstream=swap.view.upstream.id,
@@ -237,8 +237,8 @@
             cold=swap.cold,
             seconds=swap.load_seconds,
             gain=round(swap.net_gain, 1),
-            waiting=sum(one.requests for one in asking),
-            patience=round(max((one.max_wait_seconds for one in asking), default=0.0), 2),
+            waiting=sum(one.requests for one in served),
+            patience=round(max((one.max_wait_seconds for one in served), default=0.0), 2),
         )
         if swap.cold:
             self._rate.count_load()
@@ -248,16 +248,16 @@
     def _views(self, service: str) -> list[WorkerView]:
         return self._service_views.views(service, self._totals)
 
-    def _tell(self, fence: int) -> LeaderUpdate | None:
+    def _make_update(self, fence: int) -> LeaderUpdate | None:
         """Return the news, None where they would tell nothing and none are due."""
-        regular = self._schedule.periodic_due()
+        periodic = self._schedule.periodic_due()
         residency, residency_complete = self._schedule.residency(
-            self._workers.resident_by_id(), regular=regular, instances=len(self._instances)
+            self._workers.resident_by_id(), regular=periodic, instances=len(self._instances)
         )
         ready_in = self._workers.ready_in_by_model()
         store = self._read(self._changes)
-        limits = self._issuer.issue(all_limits=regular)
-        if not self._schedule.has_changes(ready_in.keys(), store) and not regular and not limits:
+        limits = self._issuer.issue(all_limits=periodic)
+        if not self._schedule.has_changes(ready_in.keys(), store) and not periodic and not limits:
             return None
         loads = [LoadEntry(key, *load) for key, load in self._totals.loads.items()]
         return LeaderUpdate(
@@ -266,19 +266,19 @@
             residency,
             residency_complete,
             ready_in,
-            loads if regular else None,
+            loads if periodic else None,
             len(self._instances),
             store,
-            self._failing.ratios() if regular else {},
-            self._use.grants(self._limits_by_name()) if regular else None,
-            self._some_peers() if residency_complete else [],
+            self._failing.ratios() if periodic else {},
+            self._use.grants(self._limits_by_name()) if periodic else None,
+            self._sample_peers() if residency_complete else [],
             limits,
             self._directory.leaving_unlisted(),
         )
 
-    def _some_peers(self) -> list[str]:
+    def _sample_peers(self) -> list[str]:
         addresses = self._instances.addresses()
-        return self._random.sample(addresses, min(MOST_PEERS_TOLD, len(addresses)))
+        return self._random.sample(addresses, min(MAX_PEERS_PER_UPDATE, len(addresses)))
 
     def _limits_by_name(self) -> dict[str, UseLimit]:
         table = self._routes.get()
