--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/unanswered.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/unanswered.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 # An order without an answer may be carried out 2 to 12 s later; a margin on top.
-LATEST_SECONDS = 15.0
+MAX_DELIVERY_SECONDS = 15.0
 
 
 class UnansweredLoad(NamedTuple):
@@ -14,10 +14,10 @@
     orders_accepted: int
     weights_mb: float
     sent_at: float
-    adapter: bool = False
+    is_adapter: bool = False
 
 
-def late_mb(loads: Iterable[UnansweredLoad], orders_accepted: int) -> float:
+def pending_mb(loads: Iterable[UnansweredLoad], orders_accepted: int) -> float:
     """Return the memory that loads may take after the order number ``orders_accepted``.
 
     A process that starts again under its name counts its orders anew. A load that was
@@ -26,20 +26,20 @@
     worker crashes under its running models. Loads with that number or a lower one can't
     follow the order about to be sent: only one of the two is accepted.
     """
-    return sum(load.weights_mb for load in _that_may_follow(loads, orders_accepted))
+    return sum(load.weights_mb for load in _still_acceptable(loads, orders_accepted))
 
 
-def late_adapters(loads: Iterable[UnansweredLoad], orders_accepted: int) -> int:
+def pending_adapters(loads: Iterable[UnansweredLoad], orders_accepted: int) -> int:
     """Return the places that adapters may take after the order number ``orders_accepted``.
 
     Only one of the orders with one number is accepted.
     """
-    following = _that_may_follow(loads, orders_accepted)
-    return len({load.orders_accepted for load in following if load.adapter})
+    following = _still_acceptable(loads, orders_accepted)
+    return len({load.orders_accepted for load in following if load.is_adapter})
 
 
-def _that_may_follow(loads: Iterable[UnansweredLoad], orders_accepted: int) -> list[UnansweredLoad]:
-    since = time.monotonic() - LATEST_SECONDS
+def _still_acceptable(loads: Iterable[UnansweredLoad], orders_accepted: int) -> list[UnansweredLoad]:
+    sent_after = time.monotonic() - MAX_DELIVERY_SECONDS
     return [
-        load for load in loads if load.sent_at > since and load.orders_accepted > orders_accepted
+        load for load in loads if load.sent_at > sent_after and load.orders_accepted > orders_accepted
     ]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -13,10 +13,10 @@
 from redwingscale_daemon._internal.swaps.order import Load, OrderResult, Unload
 from redwingscale_daemon._internal.swaps.room import used_mb
 from redwingscale_daemon._internal.swaps.unanswered import (
-    LATEST_SECONDS,
+    MAX_DELIVERY_SECONDS,
     UnansweredLoad,
-    late_adapters,
-    late_mb,
+    pending_adapters,
+    pending_mb,
 )
 
 
@@ -87,19 +87,19 @@
         report = self.report
         assert report is not None
         if result is OrderResult.UNKNOWN:
-            self._unanswered_until = time.monotonic() + LATEST_SECONDS
+            self._unanswered_until = time.monotonic() + MAX_DELIVERY_SECONDS
         idle_adapter = bool(action.unit.adapter) and isinstance(action, Unload)
         if idle_adapter and result is OrderResult.ALREADY_APPLIED and self._may_have_gone():
             self.forget()
             return
         if result is OrderResult.UNKNOWN and isinstance(action, Load):
-            late = UnansweredLoad(
+            pending = UnansweredLoad(
                 report.orders_accepted,
                 self._needed_mb(action.unit),
                 time.monotonic(),
                 bool(action.unit.adapter),
             )
-            self.unanswered.append(late)
+            self.unanswered.append(pending)
         if result is OrderResult.ACCEPTED or (result is OrderResult.ALREADY_APPLIED and idle_adapter):
             self.report = report._replace(orders_accepted=report.orders_accepted + 1)
 
@@ -129,13 +129,13 @@
         if unit.adapter and self._adapters(report) >= engine.adapter_slots:
             return False
         arriving = sum(map(self._needed_mb, report.arriving))
-        late = late_mb(self.unanswered, report.orders_accepted)
-        taken = used_mb(engine, report.resident) + arriving + late
+        pending = pending_mb(self.unanswered, report.orders_accepted)
+        taken = used_mb(engine, report.resident) + arriving + pending
         return taken + self._needed_mb(unit) <= engine.weights_mb
 
     def _adapters(self, report: EngineReport) -> int:
-        late = late_adapters(self.unanswered, report.orders_accepted)
-        return sum(map(len, report.resident.values())) + len(report.arriving) + late
+        pending = pending_adapters(self.unanswered, report.orders_accepted)
+        return sum(map(len, report.resident.values())) + len(report.arriving) + pending
 
     def _needed_mb(self, unit: Unit) -> float:
         engine = self._engine()
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
@@ -3,7 +3,7 @@
 import pytest
 from redwingscale_daemon._internal.swaps.order import Load, OrderResult
 from redwingscale_daemon._internal.swaps.tasks import SwapTask
-from redwingscale_daemon._internal.swaps.unanswered import UnansweredLoad, late_mb
+from redwingscale_daemon._internal.swaps.unanswered import UnansweredLoad, pending_mb
 from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority, WorkerOrders
 
 from .conftest import until, upstream
@@ -44,9 +44,9 @@
     # A load got no answer and the worker crashed. It comes back under its name and is
     # given two models, which fill it; then the old load arrives with the number that it
     # was sent with, is accepted as the third, and the worker crashes once more.
-    late = UnansweredLoad(2, 70.0, float("inf"))
+    pending = UnansweredLoad(2, 70.0, float("inf"))
     worker.resident = {}
-    one = orders(upstream("w"), [late])
+    one = orders(upstream("w"), [pending])
     for model in ("b", "c"):
         one.give(SwapTask((), model, 0.01))
         assert idle(one)
@@ -74,5 +74,5 @@
 def test_late_loads_count_until_they_can_no_longer_come():
     soon = UnansweredLoad(2, 70.0, float("inf"))
     long_ago = UnansweredLoad(2, 70.0, float("-inf"))
-    assert late_mb([soon, long_ago], 1) == 70.0
-    assert late_mb([soon], 2) == 0.0
+    assert pending_mb([soon, long_ago], 1) == 70.0
+    assert pending_mb([soon], 2) == 0.0
