--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
@@ -57,7 +57,7 @@
             evicted=",".join(map(str, evicted)) or "-",
             waiting=waiting,
         )
-        self._workers.give(view.upstream.id, AdapterTask(unit, evicted))
+        self._workers.start_task(view.upstream.id, AdapterTask(unit, evicted))
 
     def _least_requested(self, service: str, engine: EngineRule, view: WorkerView) -> tuple[Unit, ...]:
         """Return what makes room for one more adapter: those that are asked for least."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -243,7 +243,7 @@
         if swap.cold:
             self._rate.count_load()
         task = SwapTask(swap.evicted, swap.model.name, swap.load_seconds)
-        self._workers.give(swap.view.upstream.id, task)
+        self._workers.start_task(swap.view.upstream.id, task)
 
     def _views(self, service: str) -> list[WorkerView]:
         return self._service_views.views(service, self._totals)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -52,11 +52,11 @@
         """The number that the next order must name; 0 while it isn't known."""
         return self.report.orders_accepted if self.report else 0
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Hold nothing for known until the next report."""
         self.report = None
 
-    def is_own(self, report: EngineReport) -> bool:
+    def check_start(self, report: EngineReport) -> bool:
         """Return whether ``report`` is of this start of the process; else void the ledger."""
         if report.started_at_ms == self._upstream.started_at_ms:
             return True
@@ -70,16 +70,16 @@
         )
         return False
 
-    def resident(self, going: frozenset[str], going_adapters: frozenset[Unit]) -> AdaptersByModel | None:
+    def resident(self, evicting: frozenset[str], evicting_adapters: frozenset[Unit]) -> AdaptersByModel | None:
         """Return what requests may be sent for, None while it isn't known."""
         if self.superseded:
             return {}
         if self.report is None:
             return None
         return {
-            name: frozenset(one for one in adapters if Unit(name, one) not in going_adapters)
+            name: frozenset(one for one in adapters if Unit(name, one) not in evicting_adapters)
             for name, adapters in self.report.resident.items()
-            if name not in going
+            if name not in evicting
         }
 
     def note_order(self, action: Load | Unload, result: OrderResult) -> None:
@@ -88,9 +88,9 @@
         assert report is not None
         if result is OrderResult.UNKNOWN:
             self._unanswered_until = time.monotonic() + MAX_DELIVERY_SECONDS
-        idle_adapter = bool(action.unit.adapter) and isinstance(action, Unload)
-        if idle_adapter and result is OrderResult.ALREADY_APPLIED and self._may_have_gone():
-            self.forget()
+        unloads_adapter = bool(action.unit.adapter) and isinstance(action, Unload)
+        if unloads_adapter and result is OrderResult.ALREADY_APPLIED and self._may_be_unloaded():
+            self.invalidate()
             return
         if result is OrderResult.UNKNOWN and isinstance(action, Load):
             pending = UnansweredLoad(
@@ -100,10 +100,10 @@
                 bool(action.unit.adapter),
             )
             self.unanswered.append(pending)
-        if result is OrderResult.ACCEPTED or (result is OrderResult.ALREADY_APPLIED and idle_adapter):
+        if result is OrderResult.ACCEPTED or (result is OrderResult.ALREADY_APPLIED and unloads_adapter):
             self.report = report._replace(orders_accepted=report.orders_accepted + 1)
 
-    def _may_have_gone(self) -> bool:
+    def _may_be_unloaded(self) -> bool:
         return time.monotonic() < self._unanswered_until
 
     def has_adapter(self, unit: Unit) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -24,17 +24,17 @@
 # Reports are a tenth of a second old; each is a call that costs.
 POLL_SECONDS = 0.15
 # The same for an adapter, whose load takes no longer than this.
-ADAPTER_AWAY_SECONDS = 0.02
+ADAPTER_ROUTE_AWAY_SECONDS = 0.02
 # An adapter is there after 5 to 14 ms, later while many come at once.
-ADAPTER_SECONDS = 0.02
+ADAPTER_LOAD_SECONDS = 0.02
 # An unload waits for its runs; streams last a few seconds.
-UNLOAD_LIMIT_SECONDS = 12.0
+UNLOAD_TIMEOUT_SECONDS = 12.0
 # An upstream with a rate limit or a retry time may take a call later than this.
-TURN_SECONDS = 4.0
+MAY_CALL_TIMEOUT_SECONDS = 4.0
 # Loads take up to three times as long while many run at once.
-LOAD_LIMIT_FACTOR = 4.0
+LOAD_TIMEOUT_FACTOR = 4.0
 # A worker whose report could not be had is left alone for a moment.
-UNREACHABLE_SECONDS = 0.5
+UNREACHABLE_PAUSE_SECONDS = 0.5
 
 
 class OrderAuthority(NamedTuple):
@@ -79,9 +79,9 @@
         self._client = client
         self._authority = authority
         self._on_change = on_change
-        self._going: frozenset[str] = frozenset()
-        self._going_adapters: frozenset[Unit] = frozenset()
-        self._busy_with: Task | None = None
+        self._evicting_models: frozenset[str] = frozenset()
+        self._evicting_adapters: frozenset[Unit] = frozenset()
+        self._task: Task | None = None
         self._ready_at = 0.0
         self._blocked_until = 0.0
         self.settled_at: dict[str, float] = {}
@@ -91,12 +91,12 @@
         """Whether a task can be given."""
         if self.ledger.superseded:
             return False
-        return self._busy_with is None and time.monotonic() >= self._blocked_until
+        return self._task is None and time.monotonic() >= self._blocked_until
 
     @property
     def loading(self) -> str:
         """The model that is being loaded, empty for none."""
-        task = self._busy_with
+        task = self._task
         return task.model if isinstance(task, SwapTask) else ""
 
     @property
@@ -106,11 +106,11 @@
 
     def resident(self) -> AdaptersByModel | None:
         """Return what requests may be sent for, None while it isn't known."""
-        return self.ledger.resident(self._going, self._going_adapters)
+        return self.ledger.resident(self._evicting_models, self._evicting_adapters)
 
-    def give(self, task: Task) -> None:
+    def start(self, task: Task) -> None:
         """Carry out ``task``; only while `free`."""
-        self._busy_with = task
+        self._task = task
         if isinstance(task, SwapTask):
             self._ready_at = time.monotonic() + ROUTE_AWAY_SECONDS + task.load_seconds
         thread = threading.Thread(target=self._run, args=(task,), name="orders", daemon=True)
@@ -120,13 +120,13 @@
             # Without room for a thread the task is planned anew a moment later; a
             # worker left busy with it would never get another order.
             log_event("order_task_failed", level="ERROR", error=repr(error))
-            self._blocked_until = time.monotonic() + UNREACHABLE_SECONDS
-            self._ended()
+            self._blocked_until = time.monotonic() + UNREACHABLE_PAUSE_SECONDS
+            self._finish_task()
 
     def refresh(self) -> None:
         """Ask for a report at the next task, or now when there is none."""
-        if self._busy_with is None:
-            self.ledger.forget()
+        if self._task is None:
+            self.ledger.invalidate()
 
     def _run(self, task: Task) -> None:
         try:
@@ -134,19 +134,19 @@
         except Exception as error:
             # The worker must become free again: it would never get another order.
             log_event("order_task_failed", level="ERROR", error=repr(error))
-            self.ledger.forget()
+            self.ledger.invalidate()
         finally:
-            self._ended()
+            self._finish_task()
 
-    def _ended(self) -> None:
-        self._going = frozenset()
-        self._going_adapters = frozenset()
-        self._busy_with = None
+    def _finish_task(self) -> None:
+        self._evicting_models = frozenset()
+        self._evicting_adapters = frozenset()
+        self._task = None
         self._on_change()
 
     def _carry_out(self, task: Task) -> None:
-        if self.ledger.report is None and not self._learn():
-            self._blocked_until = time.monotonic() + UNREACHABLE_SECONDS
+        if self.ledger.report is None and not self._fetch_report():
+            self._blocked_until = time.monotonic() + UNREACHABLE_PAUSE_SECONDS
             return
         match task:
             case SwapTask():
@@ -156,23 +156,23 @@
         if not done:
             # Whatever went wrong, the next task begins with a report; one that is
             # read at once would be from before what went wrong.
-            self.ledger.forget()
+            self.ledger.invalidate()
             self._blocked_until = time.monotonic() + POLL_SECONDS
 
-    def _learn(self) -> bool:
-        report = self._own_report()
+    def _fetch_report(self) -> bool:
+        report = self._query_report()
         if report is None or report.busy:
             log_event("report_unusable", upstream=self.upstream.id, busy=report is not None)
             return False
         self.ledger.report = report
         return True
 
-    def _own_report(self) -> EngineReport | None:
+    def _query_report(self) -> EngineReport | None:
         """Return the worker's report, None without one or from another start of it."""
         if not self._authority.may_call(self.upstream.id):
             return None
         report = self._client.report(self.upstream)
-        if report is None or self.ledger.is_own(report):
+        if report is None or self.ledger.check_start(report):
             return report
         self._on_change()
         return None
@@ -180,7 +180,7 @@
     def _swap(self, task: SwapTask) -> bool:
         """Return whether what the worker holds is still known for certain."""
         if task.evicted:
-            self._going = frozenset(task.evicted)
+            self._evicting_models = frozenset(task.evicted)
             self._on_change()
             time.sleep(ROUTE_AWAY_SECONDS)
         for name in task.evicted:
@@ -195,9 +195,9 @@
         if self._order(Load(unit)) not in (OrderResult.ACCEPTED, OrderResult.ALREADY_APPLIED):
             return False
         self._ready_at = time.monotonic() + task.load_seconds
-        limit = task.load_seconds * LOAD_LIMIT_FACTOR + 1.0
+        timeout = task.load_seconds * LOAD_TIMEOUT_FACTOR + 1.0
         time.sleep(max(0.0, task.load_seconds - POLL_SECONDS))
-        if not self._until(lambda report: task.model in report.resident, limit):
+        if not self._poll_until(lambda report: task.model in report.resident, timeout):
             return False
         self.settled_at[task.model] = time.monotonic()
         log_event("model_loaded", upstream=self.upstream.id, model=task.model)
@@ -207,7 +207,7 @@
         result = self._order(Unload(Unit(name)))
         if result not in (OrderResult.ACCEPTED, OrderResult.ALREADY_APPLIED):
             return False
-        if not self._until(lambda report: name not in report.resident, UNLOAD_LIMIT_SECONDS):
+        if not self._poll_until(lambda report: name not in report.resident, UNLOAD_TIMEOUT_SECONDS):
             return False
         log_event("model_unloaded", upstream=self.upstream.id, model=name)
         return True
@@ -216,9 +216,9 @@
         # The plan may have been made from an older list.
         evicted = [unit for unit in task.evicted if self.ledger.has_adapter(unit)]
         if evicted:
-            self._going_adapters = frozenset(evicted)
+            self._evicting_adapters = frozenset(evicted)
             self._on_change()
-            time.sleep(ADAPTER_AWAY_SECONDS)
+            time.sleep(ADAPTER_ROUTE_AWAY_SECONDS)
         for unit in evicted:
             result = self._order(Unload(unit))
             if result is not OrderResult.ALREADY_APPLIED:
@@ -232,13 +232,13 @@
             return False
         if self._order(Load(task.unit)) not in (OrderResult.ACCEPTED, OrderResult.ALREADY_APPLIED):
             return False
-        time.sleep(ADAPTER_SECONDS)
+        time.sleep(ADAPTER_LOAD_SECONDS)
         self.ledger.note_adapter(task.unit, resident=True)
         return True
 
     def _order(self, action: Load | Unload) -> OrderResult:
         """Send one order, counted in the ledger if the worker has taken it."""
-        if not self._awaits_turn():
+        if not self._wait_until_call_allowed():
             return OrderResult.REFUSED
         fence = self._authority.fence()
         if self.ledger.report is None or fence is None:
@@ -258,25 +258,25 @@
         self.ledger.note_order(action, result)
         return result
 
-    def _awaits_turn(self) -> bool:
+    def _wait_until_call_allowed(self) -> bool:
         """Wait until the worker takes a call; return whether it does."""
-        end = time.monotonic() + TURN_SECONDS
+        end = time.monotonic() + MAY_CALL_TIMEOUT_SECONDS
         while not self._authority.may_call(self.upstream.id):
             if time.monotonic() > end:
                 return False
             time.sleep(POLL_SECONDS)
         return True
 
-    def _until(self, holds: Callable[[EngineReport], bool], limit_seconds: float) -> bool:
+    def _poll_until(self, condition: Callable[[EngineReport], bool], timeout_seconds: float) -> bool:
         """Poll reports until one that is not busy ``holds``; keep it as the ledger."""
         expected = self.ledger.orders_accepted
-        end = time.monotonic() + limit_seconds
+        end = time.monotonic() + timeout_seconds
         while time.monotonic() < end:
-            report = self._own_report()
+            report = self._query_report()
             if self.ledger.superseded:
                 return False
             if report is not None and report.orders_accepted >= expected and not report.busy:
                 self.ledger.report = report
-                return holds(report)
+                return condition(report)
             time.sleep(POLL_SECONDS)
         return False
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
@@ -53,9 +53,9 @@
         """Leave all, each after its task; another instance may give orders to them."""
         self._by_id = {}
 
-    def give(self, upstream_id: str, task: Task) -> None:
+    def start_task(self, upstream_id: str, task: Task) -> None:
         """Let a worker that is free carry out ``task``."""
-        self._by_id[upstream_id].give(task)
+        self._by_id[upstream_id].start(task)
 
     def resident_by_id(self) -> dict[str, AdaptersByModel | None]:
         """Return what each worker holds, None where it isn't known."""
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
@@ -19,7 +19,7 @@
 
 
 def idle(one):
-    return until(lambda: one._busy_with is None)
+    return until(lambda: one._task is None)
 
 
 def test_report_of_another_start_voids_the_ledger(orders, worker):
@@ -27,13 +27,13 @@
     # two models: requests were sent for them, and orders were counted from the old number.
     one = orders(upstream("w")._replace(started_at_ms=1))
     worker.started_at_ms = 1
-    one.give(SwapTask((), "b", 0.01))
+    one.start(SwapTask((), "b", 0.01))
     assert idle(one)
     assert set(one.resident()) == {"a", "b"}
     worker.started_at_ms, worker.resident, worker.accepted = 2, {}, 0
-    one.ledger.forget()
+    one.ledger.invalidate()
     sent = len(worker.orders)
-    one.give(SwapTask((), "c", 0.01))
+    one.start(SwapTask((), "c", 0.01))
     assert idle(one)
     assert one.resident() == {}
     assert not one.free
@@ -48,7 +48,7 @@
     worker.resident = {}
     one = orders(upstream("w"), [pending])
     for model in ("b", "c"):
-        one.give(SwapTask((), model, 0.01))
+        one.start(SwapTask((), model, 0.01))
         assert idle(one)
     assert set(worker.resident) == {"b"}
 
@@ -57,7 +57,7 @@
     worker.resident = {}
     one = orders(upstream("w"), [UnansweredLoad(0, 70.0, float("inf"))])
     for model in ("b", "c"):
-        one.give(SwapTask((), model, 0.01))
+        one.start(SwapTask((), model, 0.01))
         assert idle(one)
     assert set(worker.resident) == {"b", "c"}
 
@@ -65,7 +65,7 @@
 def test_load_without_an_answer_is_remembered(orders, worker):
     worker.results = [OrderResult.UNKNOWN]
     one = orders(upstream("w"))
-    one.give(SwapTask((), "b", 0.01))
+    one.start(SwapTask((), "b", 0.01))
     assert idle(one)
     assert [load.orders_accepted for load in one.ledger.unanswered] == [0]
     assert isinstance(worker.orders[0].action, Load)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
@@ -17,7 +17,7 @@
 def short_waits(monkeypatch):
     monkeypatch.setattr(worker_orders, "ROUTE_AWAY_SECONDS", 0.02)
     monkeypatch.setattr(worker_orders, "POLL_SECONDS", 0.01)
-    monkeypatch.setattr(worker_orders, "UNREACHABLE_SECONDS", 0.02)
+    monkeypatch.setattr(worker_orders, "UNREACHABLE_PAUSE_SECONDS", 0.02)
 
 
 @pytest.fixture
@@ -38,7 +38,7 @@
 
 
 def carry_out(orders, task):
-    orders.give(task)
+    orders.start(task)
     assert until(lambda: orders.free)
 
 
@@ -111,7 +111,7 @@
 
 def test_unreachable_worker_is_left_alone_for_a_moment(orders, worker):
     worker.reachable = False
-    orders.give(SwapTask((), "c", 0.0))
+    orders.start(SwapTask((), "c", 0.0))
     assert until(lambda: orders.loading == "")
     assert worker.orders == []
     assert until(lambda: orders.free)
