--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_client.py
@@ -16,9 +16,9 @@
 from redwingscale_daemon._internal.swaps.order import Order, OrderResult
 from redwingscale_daemon._internal.utils.sockets import RESET_ON_CLOSE
 
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 # A worker answers in a few milliseconds or, when it means to lose the answer, never.
-ANSWER_SECONDS = 0.6
+RESPONSE_TIMEOUT_SECONDS = 0.6
 _OK = 200
 
 
@@ -48,8 +48,8 @@
         on_result: Callable[[OrderResult], None] = lambda _: None,
         on_backpressure: Callable[[str, Backpressure], None] = lambda *_: None,
         *,
-        connect_seconds: float = CONNECT_SECONDS,
-        answer_seconds: float = ANSWER_SECONDS,
+        connect_timeout_seconds: float = CONNECT_TIMEOUT_SECONDS,
+        response_timeout_seconds: float = RESPONSE_TIMEOUT_SECONDS,
     ) -> None:
         self._calls = calls
         self._on_result = on_result
@@ -59,7 +59,7 @@
             num_pools=64,
             maxsize=1,
             retries=False,
-            timeout=urllib3.Timeout(connect=connect_seconds, read=answer_seconds),
+            timeout=urllib3.Timeout(connect=connect_timeout_seconds, read=response_timeout_seconds),
             socket_options=[*HTTPConnection.default_socket_options, RESET_ON_CLOSE],
         )
 
@@ -67,7 +67,7 @@
         """Return the worker's report, None where there is no sound answer."""
         try:
             response = self._pools.request("GET", _url(upstream, self._calls.report_target))
-            self._note(upstream, response)
+            self._note_backpressure(upstream, response)
             if response.status != _OK:
                 return None
             return self._calls.decode_report(response.data)
@@ -92,10 +92,10 @@
             return OrderResult.REFUSED
         except HTTPError:
             return OrderResult.UNKNOWN
-        self._note(upstream, response)
+        self._note_backpressure(upstream, response)
         return self._calls.order_result(response.status)
 
-    def _note(self, upstream: Upstream, response: BaseHTTPResponse) -> None:
+    def _note_backpressure(self, upstream: Upstream, response: BaseHTTPResponse) -> None:
         backpressure = self._calls.read_backpressure(response.status, response.headers)
         self._on_backpressure(upstream.id, backpressure)
 
