--- a/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
@@ -32,9 +32,9 @@
     return now
 
 
-def late(clock, seconds, holders, spread, demand, copies, per_second):
+def late_fraction(clock, seconds, holders, spread, demand, copies, per_second):
     """Play ``per_second`` requests for one adapter; return the part that was late."""
-    late_total = sent = 0
+    late = sent = 0
     for _ in range(int(seconds / STEP_SECONDS)):
         clock[0] += STEP_SECONDS
         arrivals = int(per_second * STEP_SECONDS)
@@ -50,22 +50,22 @@
         for copy in spread.choose_copies(demand.overloaded_adapters(SERVICE), views, SLOTS):
             demand.clear_overload(SERVICE, copy.unit)
             holders.add(int(copy.view.upstream.id[1:]))
-        late_total, sent = late_total + overloads, sent + arrivals
-    return late_total / sent
+        late, sent = late + overloads, sent + arrivals
+    return late / sent
 
 
-def test_a_busy_adapter_gets_as_many_holders_as_its_callers_need(clock):
+def test_overloaded_adapter_gets_as_many_holders_as_its_requests_need(clock):
     # Ten workers hold a busy model and one of them the adapter that a lot's clerks ask
     # for: nine were calm while requests were refused behind the tenth's queue.
     spread, demand, holders = AdapterSpread(), Demand(), {0}
-    late(clock, 5.0, holders, spread, demand, copies=10, per_second=24)
-    assert late(clock, 5.0, holders, spread, demand, copies=10, per_second=24) == 0
+    late_fraction(clock, 5.0, holders, spread, demand, copies=10, per_second=24)
+    assert late_fraction(clock, 5.0, holders, spread, demand, copies=10, per_second=24) == 0
     assert len(holders) <= 8
 
 
-def test_a_calm_adapter_stays_where_it_is(clock):
+def test_adapter_without_overload_gets_no_copy(clock):
     spread, demand, holders = AdapterSpread(), Demand(), {0}
-    assert late(clock, 5.0, holders, spread, demand, copies=10, per_second=4) == 0
+    assert late_fraction(clock, 5.0, holders, spread, demand, copies=10, per_second=4) == 0
     assert holders == {0}
 
 
@@ -74,7 +74,7 @@
     assert AdapterSpread().choose_copies([UNIT], views, SLOTS) == []
 
 
-def test_a_worker_gets_one_order_a_plan(clock):
+def test_worker_gets_at_most_one_order_per_plan(clock):
     views = [view("u0", 10, "a1", "a2"), view("u1", 1)]
     chosen = AdapterSpread().choose_copies([UNIT, Unit("a", "a2")], views, SLOTS)
     assert [copy.unit for copy in chosen] == [UNIT]
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_load_rate.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_load_rate.py
@@ -23,7 +23,7 @@
     return started
 
 
-def test_a_window_takes_no_more_than_its_rate(clock):
+def test_window_allows_no_more_loads_than_its_rate(clock):
     rate = LoadRate()
     assert start_all(rate) == 10
     clock[0] += 4.9
@@ -32,7 +32,7 @@
     assert start_all(rate) == 10
 
 
-def test_successor_counts_the_loads_of_the_giver_before(clock):
+def test_successor_assumes_a_full_window_of_the_former_leader(clock):
     # The former giver may have begun a whole window of loads just before its end,
     # three seconds ago: none may begin until these have left the window.
     rate = LoadRate()
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_order_client.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_order_client.py
@@ -15,13 +15,13 @@
 
 
 @pytest.fixture
-def stand_in():
+def model_worker():
     return ModelWorker("u0", {"a": set()})
 
 
 @pytest.fixture
-def link(stand_in):
-    server = HttpServer(stand_in, "127.0.0.1", 0, ServerLimits(threads=4))
+def link(model_worker):
+    server = HttpServer(model_worker, "127.0.0.1", 0, ServerLimits(threads=4))
     server.start()
     made = FaultyLink(server.port)
     yield made
@@ -43,7 +43,7 @@
     )
 
 
-def test_order_that_a_cut_holds_up_is_never_delivered(stand_in, link, client):
+def test_order_delayed_by_a_network_cut_is_never_delivered(model_worker, link, client):
     # The order giver's failure domain is cut off just as it sends an order. Another
     # instance takes over. When the cut ends, seconds later, the network delivers
     # what is still in the sender's buffer: an order of the former giver would come
@@ -56,4 +56,4 @@
     link.heal()
     assert until(lambda: client.report(worker) is not None)
     time.sleep(0.2)
-    assert stand_in.orders == []
+    assert model_worker.orders == []
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
@@ -22,27 +22,27 @@
     return Planner(SERVICE, engine, demand)
 
 
-def waits(name, requests=1, patience=11.0):
-    return WaitingUnit(SERVICE, Unit(name), requests, patience)
+def waiting(name, requests=1, max_wait=11.0):
+    return WaitingUnit(SERVICE, Unit(name), requests, max_wait)
 
 
 def test_free_room_is_used_first(planner):
     swap = planner.swap_for(
-        waits("c", 9), [view("u0", "a", "b"), view("u1", "a")], cold_allowed=True
+        waiting("c", 9), [view("u0", "a", "b"), view("u1", "a")], cold_allowed=True
     )
     assert (swap.view.upstream.id, swap.evicted) == ("u1", ())
 
 
-def test_spare_copy_goes_before_the_only_one(planner, demand):
+def test_spare_copy_is_evicted_before_the_only_one(planner, demand):
     demand.receive(update(a=1, b=1))
     views = [view("u0", "a", "b"), view("u1", "a", "d")]
-    swap = planner.swap_for(waits("c", 9), views, cold_allowed=True)
+    swap = planner.swap_for(waiting("c", 9), views, cold_allowed=True)
     assert swap.evicted == ("a",)
 
 
-def test_copy_at_hand_is_loaded_before_one_from_the_store(planner):
+def test_local_copy_is_loaded_before_one_from_the_weight_store(planner):
     views = [view("u0", "a"), view("u1", "a", on_disk=["c"]), view("u2", "a", in_memory=["c"])]
-    swap = planner.swap_for(waits("c", 3), views, cold_allowed=False)
+    swap = planner.swap_for(waiting("c", 3), views, cold_allowed=False)
     assert (swap.view.upstream.id, swap.cold) == ("u2", False)
 
 
@@ -51,39 +51,39 @@
     # several times a second, and all its callers would wait for its load.
     for _ in range(8):
         demand.receive(update(a=10, b=10))
-    assert planner.swap_for(waits("c"), [view("u0", "a", "b")], cold_allowed=True) is None
+    assert planner.swap_for(waiting("c"), [view("u0", "a", "b")], cold_allowed=True) is None
 
 
-def test_rare_model_that_rests_makes_room(planner, demand):
+def test_idle_rare_model_is_evicted(planner, demand):
     demand.receive(update(a=1))
     demand.receive(update(b=40))
-    swap = planner.swap_for(waits("c", 8), [view("u0", "a", "b")], cold_allowed=True)
+    swap = planner.swap_for(waiting("c", 8), [view("u0", "a", "b")], cold_allowed=True)
     assert swap.evicted == ("a",)
 
 
-def test_load_that_comes_too_late_counts_for_nothing(planner):
-    hopeless = waits("c", 2, patience=2.0)
+def test_load_that_ends_after_the_max_wait_gains_nothing(planner):
+    hopeless = waiting("c", 2, max_wait=2.0)
     assert planner.swap_for(hopeless, [view("u0", "a", "b")], cold_allowed=True) is None
 
 
-def test_worker_with_an_order_under_way_is_left_alone(planner):
-    assert planner.swap_for(waits("c", 9), [view("u0", "a", free=False)], cold_allowed=True) is None
+def test_worker_with_an_order_in_flight_gets_no_swap(planner):
+    assert planner.swap_for(waiting("c", 9), [view("u0", "a", free=False)], cold_allowed=True) is None
 
 
-def test_ceiling_of_the_weight_store_holds(planner):
-    assert planner.swap_for(waits("c", 9), [view("u0", "a")], cold_allowed=False) is None
+def test_ceiling_of_the_weight_store_is_respected(planner):
+    assert planner.swap_for(waiting("c", 9), [view("u0", "a")], cold_allowed=False) is None
 
 
-def test_model_that_nobody_asks_for_does_not_keep_its_place(planner, demand, monkeypatch):
+def test_model_without_requests_is_evicted_in_time(planner, demand, monkeypatch):
     # Two models fill the worker and nobody asks for them. A third one is asked for
     # now and then: it would wait for ever if the others were always expected.
     views = [view("u0", "a", "b")]
     demand.receive(update(c=1))
-    assert planner.swap_for(waits("c", 3), views, cold_allowed=True) is None
+    assert planner.swap_for(waiting("c", 3), views, cold_allowed=True) is None
     real = time.monotonic
     monkeypatch.setattr(time, "monotonic", lambda: real() + 60.0)
     demand.receive(update(c=1))
-    assert planner.swap_for(waits("c", 5), views, cold_allowed=True) is not None
+    assert planner.swap_for(waiting("c", 5), views, cold_allowed=True) is not None
 
 
 def test_rare_model_is_not_starved(planner, demand, monkeypatch):
@@ -95,11 +95,11 @@
     for later, served in ((0.0, False), (10.0, False), (30.0, True)):
         monkeypatch.setattr(time, "monotonic", lambda later=later: real() + later)
         demand.receive(update(c=1))
-        assert (planner.swap_for(waits("c"), views, cold_allowed=True) is not None) is served
+        assert (planner.swap_for(waiting("c"), views, cold_allowed=True) is not None) is served
 
 
 def test_memory_is_never_overfilled(planner, engine):
-    swap = planner.swap_for(waits("c", 20), [view("u0", "a", "b")], cold_allowed=True)
+    swap = planner.swap_for(waiting("c", 20), [view("u0", "a", "b")], cold_allowed=True)
     stay = {name: frozenset() for name in ("a", "b") if name not in swap.evicted}
     assert used_mb(engine, stay) + 70.0 <= engine.weights_mb
 
@@ -108,14 +108,14 @@
     assert used_mb(engine, {"from-elsewhere": frozenset()}) == 70.0
 
 
-def test_coverage_takes_spare_copies_only(planner):
+def test_coverage_evicts_spare_copies_only(planner):
     spare = [view("u0", "a", "b"), view("u1", "a", "c"), view("u2", "a", "d", on_disk=["e"])]
     assert planner.coverage_swap(spare, cold_allowed=True).evicted == ("a",)
     single = [view("u0", "a", "b"), view("u1", "c", "d", on_disk=["e"])]
     assert planner.coverage_swap(single, cold_allowed=True) is None
 
 
-def test_copies_that_workers_begin_with_stay_until_demand_is_seen(planner, demand):
+def test_initial_copies_are_kept_until_demand_is_observed(planner, demand):
     demand.note_initial_copies(SERVICE, {"a": 2, "b": 1, "c": 1})
     views = [view("u0", "a", "b"), view("u1", "a", "c", on_disk=["e"])]
     assert planner.coverage_swap(views, cold_allowed=True) is None
@@ -129,20 +129,20 @@
     assert (swap.model.name, swap.view.upstream.id) == ("a", "u1")
 
 
-def test_load_time_depends_on_what_is_at_hand(engine):
+def test_load_time_depends_on_local_copies(engine):
     rule = engine.models_by_name["a"]
     assert load_time(rule, view("u", in_memory=["a"], on_disk=["a"])) == (0.5, False)
     assert load_time(rule, view("u", on_disk=["a"])) == (1.2, False)
     assert load_time(rule, view("u")) == (6.0, True)
 
 
-def test_adapter_goes_where_a_place_is_free(engine):
+def test_adapter_is_loaded_where_a_slot_is_free(engine):
     full = view("u0", "a")._replace(resident={"a": frozenset({"x", "y"})})
     chosen = choose_worker(Unit("a", "z"), [full, view("u1", "a")], engine.adapter_slots)
     assert chosen.upstream.id == "u1"
 
 
-def test_adapter_in_use_never_makes_room(engine):
+def test_adapter_in_use_is_never_evicted(engine):
     # The order to drop an adapter that requests use is taken, and waits for their
     # end: for seconds the worker takes no other order, while new ones keep coming.
     used = {Unit("a", "x"): 1, Unit("a", "y"): 2}
@@ -153,33 +153,33 @@
     assert idle.idle_adapters() == [Unit("a", "y")]
 
 
-def test_model_that_runs_requests_is_dropped_last(planner):
+def test_model_with_running_requests_is_evicted_last(planner):
     views = [view("u0", "a", "b")._replace(open_by_unit={Unit("a", "x"): 20})]
-    assert planner.swap_for(waits("c", 12), views, cold_allowed=True).evicted == ("b",)
+    assert planner.swap_for(waiting("c", 12), views, cold_allowed=True).evicted == ("b",)
 
 
-def test_further_copy_of_a_busy_model_goes_before_a_rare_one(planner, demand):
+def test_extra_copy_of_an_overloaded_model_precedes_a_rare_one(planner, demand):
     # A model is asked for twenty times a second and most are refused, as its one
     # holder is full. Each time a worker is free, one request for a rare model takes
     # its next seconds: the busy model stays with one holder for as long as that lasts.
     for _ in range(10):
         demand.receive(overload_update("a", arrivals=5, overloads=4))
     views = [view("u0", "a", "b", free=False), view("u1", "c", "d")]
-    swap = planner.best_swap([waits("e")], views, cold_allowed=True)
+    swap = planner.best_swap([waiting("e")], views, cold_allowed=True)
     assert swap.model.name == "a"
-    assert planner.best_swap([waits("e", 9)], views[:1], cold_allowed=True) is None
+    assert planner.best_swap([waiting("e", 9)], views[:1], cold_allowed=True) is None
 
 
-def test_model_that_a_request_waits_for_goes_before_one_that_nobody_asked_for(planner):
+def test_model_that_a_request_waits_for_precedes_one_without_requests(planner):
     # The process has just started, and all models are equally likely to be asked for.
     # The room that is left must go to the one that a request waits for already.
     swap = planner.best_swap(
-        [waits("f")], [view("u0", "a", in_memory=["c", "f"])], cold_allowed=True
+        [waiting("f")], [view("u0", "a", in_memory=["c", "f"])], cold_allowed=True
     )
     assert swap.model.name == "f"
 
 
-def test_model_whose_requests_are_in_time_gets_no_further_copy(planner, demand):
+def test_model_without_overload_gets_no_extra_copy(planner, demand):
     for _ in range(10):
         demand.receive(update(a=2, b=2))
     views = [view("u0", "a", "b"), view("u1", "a", "b"), view("u2", "c", "d")]
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_rate_limited_views.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_rate_limited_views.py
@@ -32,7 +32,7 @@
     return {one.upstream.id: (sorted(one.resident), one.free) for one in made}
 
 
-def test_busy_models_of_an_upstream_rate_limited_count_as_missing(views):
+def test_busy_models_of_a_rate_limited_upstream_count_as_missing(views):
     # Guards against a busy model that stays behind a limit that a rare one would fit into.
     assert planned(views, {"w": 1.0}) == {
         "sound": (["shared"], True),
@@ -40,12 +40,12 @@
     }
 
 
-def test_model_whose_adapter_is_waited_for_counts_as_missing(views):
+def test_model_with_requests_waiting_for_its_adapter_counts_as_missing(views):
     # Guards against an adapter that is never loaded, as its model's holder takes no orders.
     assert planned(views, {"w": 1.0}, [Unit("rare", "a1")])["w"] == (["calm"], False)
 
 
-def test_upstreams_that_are_all_limited_are_planned_as_they_are(views):
+def test_views_are_unchanged_if_all_upstreams_have_limits(views):
     # Guards against a service without a plan while all its upstreams have limits.
     rates = {"w": 1.0, "sound": 1.0}
     assert planned(views, rates)["w"] == (["busy", "calm", "rare", "shared"], True)
@@ -62,7 +62,7 @@
     return [one.unit.model for one in found]
 
 
-def test_model_whose_requests_are_refused_at_once_is_missed(views):
+def test_model_whose_requests_are_refused_at_once_counts_as_missing(views):
     # Guards against a model that is loaded nowhere, as none of its requests wait.
     limited = limit_resident_models(views, {"w": 1.0}, RATES_BY_MODEL.__getitem__, ())
     assert missing({"w": 1.0}, limited) == ["busy"]
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_reborn_workers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_restarted_workers.py
@@ -18,29 +18,29 @@
     return make
 
 
-def idle(one):
+def finished(one):
     return until(lambda: one._task is None)
 
 
-def test_report_of_another_start_voids_the_ledger(orders, worker):
+def test_report_of_another_start_supersedes_the_ledger(orders, worker):
     # The worker crashes and is back, empty, before the list tells. The ledger has it at
     # two models: requests were sent for them, and orders were counted from the old number.
     one = orders(upstream("w")._replace(started_at_ms=1))
     worker.started_at_ms = 1
     one.start(SwapTask((), "b", 0.01))
-    assert idle(one)
+    assert finished(one)
     assert set(one.resident()) == {"a", "b"}
     worker.started_at_ms, worker.resident, worker.accepted = 2, {}, 0
     one.ledger.invalidate()
     sent = len(worker.orders)
     one.start(SwapTask((), "c", 0.01))
-    assert idle(one)
+    assert finished(one)
     assert one.resident() == {}
     assert not one.free
     assert len(worker.orders) == sent
 
 
-def test_load_meant_for_the_former_start_keeps_its_room(orders, worker, engine):
+def test_room_is_reserved_for_a_pending_load_of_the_former_start(orders, worker, engine):
     # A load got no answer and the worker crashed. It comes back under its name and is
     # given two models, which fill it; then the old load arrives with the number that it
     # was sent with, is accepted as the third, and the worker crashes once more.
@@ -49,16 +49,16 @@
     one = orders(upstream("w"), [pending])
     for model in ("b", "c"):
         one.start(SwapTask((), model, 0.01))
-        assert idle(one)
+        assert finished(one)
     assert set(worker.resident) == {"b"}
 
 
-def test_both_models_come_once_the_late_load_is_void(orders, worker):
+def test_both_models_are_loaded_once_the_pending_load_is_void(orders, worker):
     worker.resident = {}
     one = orders(upstream("w"), [UnansweredLoad(0, 70.0, float("inf"))])
     for model in ("b", "c"):
         one.start(SwapTask((), model, 0.01))
-        assert idle(one)
+        assert finished(one)
     assert set(worker.resident) == {"b", "c"}
 
 
@@ -66,12 +66,12 @@
     worker.results = [OrderResult.UNKNOWN]
     one = orders(upstream("w"))
     one.start(SwapTask((), "b", 0.01))
-    assert idle(one)
+    assert finished(one)
     assert [load.orders_accepted for load in one.ledger.unanswered] == [0]
     assert isinstance(worker.orders[0].action, Load)
 
 
-def test_late_loads_count_until_they_can_no_longer_come():
+def test_pending_loads_count_until_they_can_no_longer_be_accepted():
     soon = UnansweredLoad(2, 70.0, float("inf"))
     long_ago = UnansweredLoad(2, 70.0, float("-inf"))
     assert pending_mb([soon, long_ago], 1) == 70.0
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
@@ -30,7 +30,7 @@
     hot_per_second: float
 
 
-class Play:
+class Simulation:
     """Steps of a quarter of a second on a clock of its own."""
 
     def __init__(self, shape, clock):
@@ -113,27 +113,27 @@
 
 
 @pytest.mark.parametrize("shape", SHAPES)
-def test_a_shifted_load_is_served_within_three_loads(shape, clock):
+def test_shifted_load_is_served_within_three_load_times(shape, clock):
     # A lot opens and hundreds ask for a model that one worker holds. It needs ten
     # copies: brought one after the other, callers were refused for half a minute.
-    play = Play(shape, clock)
+    simulation = Simulation(shape, clock)
     for _ in range(20):
-        play.step()
-    play.rates["m0"] = shape.hot_per_second
-    served = [play.step() for _ in range(int(4 * shape.load_seconds / STEP_SECONDS))]
+        simulation.step()
+    simulation.rates["m0"] = shape.hot_per_second
+    served = [simulation.step() for _ in range(int(4 * shape.load_seconds / STEP_SECONDS))]
     in_time = served[int(3 * shape.load_seconds / STEP_SECONDS) :]
     assert sum(in_time) / len(in_time) >= 0.9
 
 
-def test_copies_end_where_nobody_is_late(clock):
+def test_no_copies_are_added_once_requests_are_in_time(clock):
     # Copies side by side must not go on when those on their way are enough: each takes
     # a place that another model is asked for next.
     shape = SHAPES[0]
-    play = Play(shape, clock)
+    simulation = Simulation(shape, clock)
     for _ in range(20):
-        play.step()
-    play.rates["m0"] = shape.hot_per_second
+        simulation.step()
+    simulation.rates["m0"] = shape.hot_per_second
     for _ in range(100):
-        play.step()
-    copies = sum(1 for resident in play.resident if "m0" in resident)
+        simulation.step()
+    copies = sum(1 for resident in simulation.resident if "m0" in resident)
     assert copies <= 2 * shape.hot_per_second / shape.per_second
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
@@ -21,18 +21,18 @@
 
 
 @pytest.fixture
-def right():
+def fence():
     """The fencing number to use, None without the right to give orders."""
     return [7]
 
 
 @pytest.fixture
-def orders(worker, engine, right):
+def orders(worker, engine, fence):
     return WorkerOrders(
         upstream("u0", "a"),
         lambda: engine,
         worker,
-        OrderAuthority("i1", lambda: right[0]),
+        OrderAuthority("i1", lambda: fence[0]),
         lambda: None,
     )
 
@@ -50,18 +50,18 @@
     assert orders.resident() == {"a": frozenset(), "c": frozenset()}
 
 
-def test_model_that_goes_is_told_before_it_is_unloaded(worker, engine, right):
+def test_eviction_is_announced_before_the_unload(worker, engine, fence):
     # Requests that are on their way to it must find it still there.
     seen = []
     orders = WorkerOrders(
-        upstream("u0", "a"), lambda: engine, worker, OrderAuthority("i1", lambda: right[0]),
+        upstream("u0", "a"), lambda: engine, worker, OrderAuthority("i1", lambda: fence[0]),
         lambda: seen.append((sorted(orders.resident() or {}), len(worker.orders))),
     )  # fmt: skip
     carry_out(orders, SwapTask(("a",), "c", 0.0))
     assert seen[0] == ([], 0)
 
 
-def test_load_without_room_is_never_ordered(orders, worker):
+def test_load_that_does_not_fit_is_never_ordered(orders, worker):
     # What the planner knew was old: the worker holds one model more. Loaded all
     # the same, it would run out of memory under its running models.
     worker.resident["b"] = frozenset()
@@ -90,26 +90,26 @@
     assert len(worker.orders) == 1
 
 
-def test_nothing_is_ordered_without_the_right(orders, worker, right):
-    right[0] = None
+def test_nothing_is_ordered_without_the_leader_lease(orders, worker, fence):
+    fence[0] = None
     carry_out(orders, SwapTask((), "c", 0.0))
     assert worker.orders == []
 
 
-def test_right_that_is_lost_in_mid_swap_stops_it(orders, worker, right):
+def test_loss_of_the_leader_lease_stops_a_swap(orders, worker, fence):
     worker.resident["b"] = frozenset()
     original = worker.order
 
-    def order_and_lose(upstream, order):
-        right[0] = None
+    def order_and_lose_lease(upstream, order):
+        fence[0] = None
         return original(upstream, order)
 
-    worker.order = order_and_lose
+    worker.order = order_and_lose_lease
     carry_out(orders, SwapTask(("b",), "c", 0.0))
     assert [order.action for order in worker.orders] == [Unload(Unit("b"))]
 
 
-def test_unreachable_worker_is_left_alone_for_a_moment(orders, worker):
+def test_unreachable_worker_is_retried_after_a_pause(orders, worker):
     worker.reachable = False
     orders.start(SwapTask((), "c", 0.0))
     assert until(lambda: orders.loading == "")
@@ -117,7 +117,7 @@
     assert until(lambda: orders.free)
 
 
-def test_adapters_stay_within_their_places(orders, worker, engine):
+def test_adapters_stay_within_their_slots(orders, worker, engine):
     for name in ("x", "y"):
         carry_out(orders, AdapterTask(Unit("a", name), ()))
     carry_out(orders, AdapterTask(Unit("a", "z"), ()))
@@ -127,23 +127,19 @@
     assert orders.resident() == {"a": frozenset({"y", "z"})}
 
 
-def test_adapter_without_room_beside_the_models_is_never_ordered(worker, engine, right):
+def test_adapter_that_does_not_fit_beside_the_models_is_never_ordered(worker, engine, fence):
     # Two models fill the worker's memory to the last megabyte. The adapter that a request
     # waits for has a free place by its number: ordered, it crashes the worker.
     worker.resident["b"] = frozenset()
     tight = engine._replace(weights_mb=140.0)
     orders = WorkerOrders(
-        upstream("u0", "a"),
-        lambda: tight,
-        worker,
-        OrderAuthority("i1", lambda: right[0]),
-        lambda: None,
+        upstream("u0", "a"), lambda: tight, worker, OrderAuthority("i1", lambda: fence[0]), lambda: None
     )
     carry_out(orders, AdapterTask(Unit("a", "a1"), ()))
     assert worker.orders == []
 
 
-def test_place_is_kept_for_an_adapter_whose_late_order_may_still_be_accepted(orders, worker):
+def test_slot_is_reserved_for_an_adapter_whose_order_may_still_be_accepted(orders, worker):
     # Guards against an adapter beyond the places, at which the worker crashes.
     worker.resident["a"] = frozenset({"x", "z"})
     # The adapter to drop has just gone: the worker counts no order, the ledger does, and the
@@ -161,7 +157,7 @@
     assert worker.resident["a"] == {"w"}
 
 
-def test_unload_of_an_adapter_that_may_have_gone_is_not_counted(orders, worker):
+def test_unload_of_an_adapter_that_may_be_unloaded_already_is_not_counted(orders, worker):
     # Guards against orders that name a number which the worker has not come to yet.
     worker.resident["a"] = frozenset({"x", "z"})
     worker.results = [OrderResult.UNKNOWN, OrderResult.ALREADY_APPLIED]
