--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.swaps.order import Load, Order, OrderResult
 
 _RESULTS_BY_STATUS = {
-    200: OrderResult.ALREADY_APPLIED,
+    200: OrderResult.IN_EFFECT,
     202: OrderResult.ACCEPTED,
     409: OrderResult.BUSY,
     412: OrderResult.FENCED,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order.py
@@ -35,7 +35,7 @@
     """What the worker said to an order."""
 
     ACCEPTED = "accepted"
-    ALREADY_APPLIED = "holds"
+    IN_EFFECT = "holds"
     BUSY = "busy"
     FENCED = "fenced"
     OTHER_UPSTREAM = "other_upstream"
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -89,7 +89,7 @@
         if result is OrderResult.UNKNOWN:
             self._unanswered_until = time.monotonic() + MAX_DELIVERY_SECONDS
         unloads_adapter = bool(action.unit.adapter) and isinstance(action, Unload)
-        if unloads_adapter and result is OrderResult.ALREADY_APPLIED and self._may_be_unloaded():
+        if unloads_adapter and result is OrderResult.IN_EFFECT and self._may_be_unloaded():
             self.invalidate()
             return
         if result is OrderResult.UNKNOWN and isinstance(action, Load):
@@ -100,7 +100,7 @@
                 bool(action.unit.adapter),
             )
             self.unanswered.append(pending)
-        if result is OrderResult.ACCEPTED or (result is OrderResult.ALREADY_APPLIED and unloads_adapter):
+        if result is OrderResult.ACCEPTED or (result is OrderResult.IN_EFFECT and unloads_adapter):
             self.report = report._replace(orders_accepted=report.orders_accepted + 1)
 
     def _may_be_unloaded(self) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -192,7 +192,7 @@
             log_event("swap_has_no_room", upstream=self.upstream.id, model=task.model)
             return True
         unit = Unit(task.model)
-        if self._order(Load(unit)) not in (OrderResult.ACCEPTED, OrderResult.ALREADY_APPLIED):
+        if self._order(Load(unit)) not in (OrderResult.ACCEPTED, OrderResult.IN_EFFECT):
             return False
         self._ready_at = time.monotonic() + task.load_seconds
         timeout = task.load_seconds * LOAD_TIMEOUT_FACTOR + 1.0
@@ -205,7 +205,7 @@
 
     def _unload(self, name: str) -> bool:
         result = self._order(Unload(Unit(name)))
-        if result not in (OrderResult.ACCEPTED, OrderResult.ALREADY_APPLIED):
+        if result not in (OrderResult.ACCEPTED, OrderResult.IN_EFFECT):
             return False
         if not self._poll_until(lambda report: name not in report.resident, UNLOAD_TIMEOUT_SECONDS):
             return False
@@ -221,7 +221,7 @@
             time.sleep(ADAPTER_ROUTE_AWAY_SECONDS)
         for unit in evicted:
             result = self._order(Unload(unit))
-            if result is not OrderResult.ALREADY_APPLIED:
+            if result is not OrderResult.IN_EFFECT:
                 # A request still uses it: it goes later, and its place isn't free yet.
                 return False
             if self.ledger.report is None:
@@ -230,7 +230,7 @@
         if not self.ledger.has_room(task.unit):
             log_event("adapter_has_no_room", upstream=self.upstream.id, unit=task.unit)
             return False
-        if self._order(Load(task.unit)) not in (OrderResult.ACCEPTED, OrderResult.ALREADY_APPLIED):
+        if self._order(Load(task.unit)) not in (OrderResult.ACCEPTED, OrderResult.IN_EFFECT):
             return False
         time.sleep(ADAPTER_LOAD_SECONDS)
         self.ledger.note_adapter(task.unit, resident=True)
--- a/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
@@ -141,7 +141,7 @@
             return OrderResult.ACCEPTED
         self.resident[unit.model] = here - {unit.adapter}
         self.accepted += 1
-        return OrderResult.ALREADY_APPLIED
+        return OrderResult.IN_EFFECT
 
 
 @pytest.fixture
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
@@ -144,7 +144,7 @@
     worker.resident["a"] = frozenset({"x", "z"})
     # The adapter to drop has just gone: the worker counts no order, the ledger does, and the
     # load after it, which gets no answer, may be accepted after the next order.
-    worker.results = [OrderResult.ALREADY_APPLIED, OrderResult.UNKNOWN]
+    worker.results = [OrderResult.IN_EFFECT, OrderResult.UNKNOWN]
     carry_out(orders, AdapterTask(Unit("a", "y"), (Unit("a", "z"),)))
     worker.resident["a"] = frozenset({"x"})
     carry_out(orders, AdapterTask(Unit("a", "w"), ()))
@@ -160,7 +160,7 @@
 def test_unload_of_an_adapter_that_may_be_unloaded_already_is_not_counted(orders, worker):
     # Guards against orders that name a number which the worker has not come to yet.
     worker.resident["a"] = frozenset({"x", "z"})
-    worker.results = [OrderResult.UNKNOWN, OrderResult.ALREADY_APPLIED]
+    worker.results = [OrderResult.UNKNOWN, OrderResult.IN_EFFECT]
     for _ in range(2):
         carry_out(orders, AdapterTask(Unit("a", "w"), (Unit("a", "z"),)))
     worker.resident["a"] = frozenset({"x"})
