--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_choice.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_choice.py
@@ -1,19 +1,19 @@
-"""Chooses the worker at which an adapter is loaded."""
+"""Chooses the worker that loads an adapter."""
 
 from collections.abc import Sequence
 
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-# An adapter that makes room may be asked for again, as if some requests more ran there.
+# Cost of a full worker, in requests: the adapter that is evicted there may be requested again.
 EVICTION_COST_REQUESTS = 10
 
 
 def choose_worker(unit: Unit, views: Sequence[WorkerView], slots: int) -> WorkerView | None:
-    """Return the worker at which ``unit``'s adapter is best loaded, None without a place.
+    """Return the best worker to load the adapter of ``unit``, None if no worker has room.
 
-    Only an adapter that no request uses makes room: the order to drop another one
-    would keep the worker from all orders until its last request has ended.
+    Only adapters that no request uses are evicted: an order to unload one in use blocks all other
+    orders of the worker until its last request has ended.
     """
     holders = [
         view
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
@@ -1,4 +1,4 @@
-"""Decides which adapters are loaded where, and what makes room for them."""
+"""Decides which adapters are loaded at which workers, and which are evicted for them."""
 
 from collections.abc import Callable
 
@@ -13,13 +13,13 @@
 from redwingscale_daemon._internal.swaps.worker_pool import WorkerPool
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-# A further holder of a busy adapter takes the place of one that is asked for less than
-# this part as often: each request for that one waits for it to come back.
+# An extra copy of an adapter evicts only adapters with less than this fraction of its request
+# rate: each request for an evicted adapter waits until it is loaded again.
 MAX_EVICTED_RATE_FRACTION = 0.3
 
 
 class AdapterOrders:
-    """Gives adapters to workers that hold their models."""
+    """Starts adapter loads at workers where the adapters' models are resident."""
 
     def __init__(self, demand: Demand, workers: WorkerPool) -> None:
         self._demand = demand
@@ -27,7 +27,7 @@
         self._spread = AdapterSpread()
 
     def load_waiting(self, waiting: WaitingUnit, engine: EngineRule, views: list[WorkerView]) -> None:
-        """Load an adapter that requests wait for, if a worker has a place for it."""
+        """Load an adapter that requests wait for, if a worker has room for it."""
         view = choose_worker(waiting.unit, views, engine.adapter_slots)
         if view is not None:
             self._start_load(waiting.service, waiting.unit, engine, view, waiting.requests)
@@ -35,7 +35,7 @@
     def load_extra_copies(
         self, service: str, engine: EngineRule, views: Callable[[str], list[WorkerView]]
     ) -> None:
-        """Load adapters whose holders are too busy at calmer copies of their models."""
+        """Load overloaded adapters at additional, less loaded copies of their models."""
         overloaded = self._demand.overloaded_adapters(service)
         if not overloaded:
             return
@@ -60,7 +60,7 @@
         self._workers.start_task(view.upstream.id, AdapterTask(unit, evicted))
 
     def _least_requested(self, service: str, engine: EngineRule, view: WorkerView) -> tuple[Unit, ...]:
-        """Return what makes room for one more adapter: those that are asked for least."""
+        """Return the least requested idle adapters to evict for one more adapter."""
         excess = max(0, len(view.adapters()) + 1 - engine.adapter_slots)
         idle = view.idle_adapters()
         return tuple(sorted(idle, key=lambda one: self._demand.rate(service, one))[:excess])
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
@@ -1,4 +1,4 @@
-"""Brings adapters whose holders are too busy to calmer copies of their model."""
+"""Chooses additional workers for adapters whose holders are overloaded."""
 
 import time
 from collections.abc import Iterable, Sequence
@@ -8,26 +8,27 @@
 from redwingscale_daemon._internal.swaps.adapter_choice import choose_worker
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-# One more holder relieves the others at once, but what waits at them already is late.
+# Minimum time between two copies of an adapter: a new holder takes load off the others at once,
+# but requests that are queued there already are late all the same.
 COPY_INTERVAL_SECONDS = 1.0
-# The new holder has at most this part of the requests of the calmest one so far.
+# A new holder has at most this fraction of the requests of the least loaded current holder.
 MAX_LOAD_FRACTION = 0.6
 MAX_COPIES_PER_PLAN = 6
 
 
 class AdapterCopy(NamedTuple):
-    """An adapter to load beside those that hold it already."""
+    """An adapter to load at one more worker."""
 
     unit: Unit
     view: WorkerView
 
 
 class AdapterSpread:
-    """Remembers which adapters got a further holder just now.
+    """Chooses extra copies, and remembers which adapters got one lately.
 
-    A busy model has a copy at ten workers and more, and each of its adapters at one of
-    them: its requests can go nowhere else, and were refused behind a full queue while
-    nine copies of their model were calm. An adapter is there within some milliseconds.
+    A busy model is resident at ten or more workers, but each of its adapters at only one of them.
+    Requests for the adapter can go nowhere else and would be refused behind a full queue while
+    nine copies of the model are lightly loaded. Loading an adapter takes only some milliseconds.
     """
 
     def __init__(self) -> None:
@@ -36,7 +37,8 @@
     def choose_copies(
         self, overloaded: Iterable[Unit], views: Sequence[WorkerView], slots: int
     ) -> list[AdapterCopy]:
-        """Return what to load for adapters whose requests were ``missed``, most missed first."""
+        """Return the copies to load for ``overloaded`` adapters, given the most overloaded first.
+        """
         now = time.monotonic()
         self._copied_at = {
             unit: at for unit, at in self._copied_at.items() if now - at < COPY_INTERVAL_SECONDS
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -1,4 +1,4 @@
-"""How much each model is asked for, over all instances."""
+"""Tracks how much each model is requested, over all instances."""
 
 import math
 import threading
@@ -15,34 +15,35 @@
 )
 from redwingscale_daemon._internal.utils.fading_rate import FadingRate
 
-# Demand moves from one model to another within five seconds: a rate fades to half
-# in this time.
+# Demand moves from one model to another within five seconds: a steady rate fades to half in this
+# time.
 STEADY_HALF_LIFE_SECONDS = 4.0
-# Where a shorter memory says less, demand is leaving: a load that begins now would
-# come for requests that are no longer sent.
+# If the rate with this shorter half-life is lower, demand is moving away: a load that starts now
+# would complete for requests that are no longer sent.
 RECENT_HALF_LIFE_SECONDS = 2.0
-# Expected requests, in the same measure as a rate over some seconds.
+# Requests to expect for a model without current demand, comparable to a rate times some seconds.
 NEW_MODEL_REQUESTS = 3.0
 NEW_MODEL_HALF_LIFE_SECONDS = 40.0
 FORMERLY_BUSY_REQUESTS = 0.6
 RARE_MODEL_REQUESTS = 0.2
 BUSY_PER_SECOND = 1.0
-# Before anybody asks, the number of copies that the workers begin with tells how
-# much a model is asked for.
+# Until requests have been observed for this long, the number of copies that the workers start with
+# indicates how much a model is requested.
 OBSERVATION_SECONDS = 6.0
 KEPT_INITIAL_COPIES_FRACTION = 0.6
-# What is asked for less often says nothing about what comes next.
+# Slower rates do not predict future requests and are left out of a snapshot.
 MIN_SENT_PER_SECOND = 0.02
-# One late request in some seconds is no reason for a further copy of its adapter.
+# One late request in some seconds does not justify an extra copy of its adapter.
 MIN_OVERLOADS_PER_SECOND = 0.5
-# An instance's news replace its former ones; one that is silent needs nothing.
+# Each update of an instance replaces its previous one; the waiting requests of an instance that is
+# silent for longer are ignored.
 UPDATE_FRESH_SECONDS = 1.5
 
 
 class WaitingUnit(NamedTuple):
-    """Requests that wait for a unit, each counted as often as it is urgent.
+    """Requests that wait for a unit, each weighted by its urgency.
 
-    The most patient of them gives up after ``max_wait_seconds``.
+    ``max_wait_seconds`` is the longest time that any of them can still wait.
     """
 
     service: str
@@ -56,7 +57,7 @@
 
 
 class Demand:
-    """Arrival rates by unit that fade, and what waits now."""
+    """Keeps fading request rates by unit, and the requests that wait now."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -73,13 +74,16 @@
         self._snapshot_senders: set[str] = set()
 
     def note_initial_copies(self, service: str, copies_by_model: dict[str, int]) -> None:
-        """Take what the workers of a service hold when this process first sees them."""
+        """Note how many copies of each model the workers of a service have at the start.
+
+        Numbers that were noted earlier are kept.
+        """
         with self._lock:
             for model, copies in copies_by_model.items():
                 self._initial_copies.setdefault((service, model), copies)
 
     def receive(self, update: InstanceUpdate) -> None:
-        """Take an instance's news."""
+        """Count the demand in an instance's update."""
         now = time.monotonic()
         with self._lock:
             if update.demand_snapshot is not None and update.instance not in self._snapshot_senders:
@@ -92,12 +96,12 @@
                 self._count(entry, now)
 
     def forget_snapshot_senders(self) -> None:
-        """Take what instances have been asked for so far once more; for a new term."""
+        """Accept one more snapshot from each instance, for a new term as leader."""
         with self._lock:
             self._snapshot_senders.clear()
 
     def snapshot(self) -> DemandSnapshot:
-        """Return what was counted here, for an order giver that knows nothing of it."""
+        """Return the demand counted here, for a leader that has not received it."""
         now = time.monotonic()
         with self._lock:
             first = now if self._first_arrival_at is None else self._first_arrival_at
@@ -119,7 +123,7 @@
         return DemandSnapshot(now - first, models, units)
 
     def waiting(self) -> list[WaitingUnit]:
-        """Return what requests wait for, the least patient first."""
+        """Return the units that requests wait for, the shortest max wait first."""
         now = time.monotonic()
         with self._lock:
             waiting = [
@@ -140,29 +144,30 @@
         return sorted(by_unit.values(), key=lambda waiting: waiting.max_wait_seconds)
 
     def rate(self, service: str, unit: Unit) -> float:
-        """Return the arrivals a second of ``unit`` alone, faded."""
+        """Return the arrivals per second for ``unit`` alone, faded."""
         rate = self._rates.get((service, unit))
         return rate.now(time.monotonic()) if rate else 0.0
 
     def model_rate(self, service: str, model: str) -> float:
-        """Return the arrivals a second of ``model`` with all its adapters.
+        """Return the arrivals per second for ``model`` with all its adapters.
 
-        It rises as arrivals have lasted, and falls as soon as they end.
+        The lower of the steady and the recent rate: it rises only while arrivals last, and falls
+        as soon as they end.
         """
         key, now = (service, model), time.monotonic()
         steady = self._model_rates.get(key, _ZERO_STEADY).now(now)
         return min(steady, self._recent_rates.get(key, _ZERO_RECENT).now(now))
 
     def recent_rate(self, service: str, model: str) -> float:
-        """Return the arrivals a second of ``model``, by the memory of `overload_rate`."""
+        """Return the arrivals per second for ``model``, with the half-life of `overload_rate`."""
         return self._recent_rates.get((service, model), _ZERO_RECENT).now(time.monotonic())
 
     def overload_rate(self, service: str, model: str) -> float:
-        """Return the requests a second whose holders of ``model`` were too busy."""
+        """Return the requests per second for ``model`` whose holders were too busy."""
         return self._overload_rates.get((service, model), _ZERO_RECENT).now(time.monotonic())
 
     def overloaded_adapters(self, service: str) -> list[Unit]:
-        """Return the adapters whose holders were too busy lately, the most missed first."""
+        """Return the adapters whose holders were too busy lately, the most overloaded first."""
         now = time.monotonic()
         with self._lock:
             self._adapter_overload_rates = {
@@ -178,19 +183,19 @@
         return sorted(rates, key=lambda unit: rates[unit], reverse=True)
 
     def clear_overload(self, service: str, unit: Unit) -> None:
-        """Forget what was missed of an adapter that gets a further holder.
+        """Reset the overload of an adapter that gets an extra holder.
 
-        What was late before it came would else bring the adapter to every copy of its
-        model, for as long as the memory of it lasts.
+        Requests that were late before the copy was loaded would otherwise cause the adapter to be
+        loaded at every copy of its model, until their rate has faded.
         """
         with self._lock:
             self._adapter_overload_rates.pop((service, unit), None)
 
     def baseline_requests(self, service: str, model: str) -> float:
-        """Return how many requests to expect beyond the present rate, for a model at rest.
+        """Return how many requests to expect beyond the current rate, for an idle model.
 
-        Demand moves on to models that nobody has asked for yet; those that it has
-        left, and those that are asked for now and then, are less likely next.
+        Demand moves on to models that have not been requested yet. Models that were busy before
+        and models that are requested now and then are less likely to be next.
         """
         peak = self._peaks.get((service, model))
         if peak is None:
@@ -198,14 +203,17 @@
         return FORMERLY_BUSY_REQUESTS if peak >= BUSY_PER_SECOND else RARE_MODEL_REQUESTS
 
     def _new_model_fraction(self) -> float:
-        # What nobody has asked for in a while is no longer likely to be next: it
-        # would else keep its place for ever against what is asked for.
+        # A model without requests for a while is unlikely to be the next one. Without this decay
+        # it would stay resident for ever in place of models that are requested.
         first = self._first_arrival_at
         since = 0.0 if first is None else time.monotonic() - first
         return 0.5 ** (since / NEW_MODEL_HALF_LIFE_SECONDS)
 
     def missing_seconds(self, service: str, model: str, *, resident: bool) -> float:
-        """Return for how long requests have asked in vain for ``model``; 0 once it is held."""
+        """Return how long requests have waited for ``model`` in vain, 0 once it is ``resident``.
+
+        The time starts with the first call while the model is not resident.
+        """
         key = (service, model)
         now = time.monotonic()
         with self._lock:
@@ -215,7 +223,10 @@
             return now - self._missing_since.setdefault(key, now)
 
     def copies_to_keep(self, service: str, model: str) -> int:
-        """Return how many copies of ``model`` stay until its demand has been seen."""
+        """Return how many copies of ``model`` to keep.
+
+        A fraction of the initial copies until demand has been observed, one copy afterwards.
+        """
         copies = self._initial_copies.get((service, model), 0)
         return 1 if self._observation_complete() else math.ceil(copies * KEPT_INITIAL_COPIES_FRACTION)
 
@@ -224,11 +235,10 @@
         return first is not None and time.monotonic() - first > OBSERVATION_SECONDS
 
     def _add_snapshot(self, snapshot: DemandSnapshot, now: float) -> None:
-        """Add what an instance was asked for before this order giver heard of it.
+        """Add the demand that an instance counted before this process became leader.
 
-        An order giver that takes over while demand moves would else see each model's
-        demand begin at nothing, and give the rare ones that requests wait for the place
-        of further copies of the busy one.
+        A leader that starts while demand moves would otherwise see each model's demand start at
+        zero, and load rare models that requests wait for in place of extra copies of the busy one.
         """
         first = now - snapshot.seconds
         current = self._first_arrival_at
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
@@ -1,4 +1,4 @@
-"""What may go from a worker to make room for another model, and what that costs."""
+"""Finds the models that a worker can evict to make room, and the cost of evicting them."""
 
 import time
 from collections.abc import Sequence
@@ -10,27 +10,27 @@
 from redwingscale_daemon._internal.swaps.room import used_mb
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-# A model that has just come has requests on their way to it.
+# A model that has just been loaded has requests on their way to it.
 MIN_RESIDENT_SECONDS = 1.5
-# A model that comes or goes is expected to be asked for as it was lately for this
-# long: demand moves within ten seconds.
+# A model that is loaded or evicted is expected to keep its recent request rate for this long:
+# demand moves within ten seconds.
 DEMAND_HORIZON_SECONDS = 8.0
-# What a second copy of a model that nobody asks for is worth, in requests.
+# Value of a second copy of a model without requests, in requests.
 IDLE_SECOND_COPY_REQUESTS = 0.3
-# The part of the requests that come to a holder in place of another one which is
-# late for it.
+# Fraction of the requests moved from an evicted copy to another holder that are late there.
 LATE_REQUESTS_FRACTION = 0.3
-# Until demand is seen, as many copies stay as the workers begin with would suggest.
+# Cost, in requests, of evicting a copy that `Demand.copies_to_keep` reserves until demand is
+# observed.
 INITIAL_COPY_REQUESTS = 5.0
-# A request that runs on a model keeps it from going until it has ended.
+# Cost, in requests, of each running request: it delays the unload of its model until it ends.
 RUNNING_REQUEST_COST = 0.3
 MAX_EVICTED_MODELS = 3
 
 
 class Eviction(NamedTuple):
-    """Models to drop, the room that there is then, and the requests that it costs.
+    """Models to evict, the memory that is free then, and the cost in requests.
 
-    ``spare`` tells that another worker holds each of them as well.
+    ``spare`` is true if each of them is resident at another worker as well.
     """
 
     models: tuple[str, ...]
@@ -40,7 +40,7 @@
 
 
 class Evictions:
-    """The choices at each worker, worked out once for all models that ask for room."""
+    """The possible evictions at each worker, computed once for all models that need room."""
 
     def __init__(
         self,
@@ -58,10 +58,10 @@
     def cheapest(
         self, view: WorkerView, needed_mb: float, *, spare_only: bool = False
     ) -> Eviction | None:
-        """Return the cheapest choice that leaves ``needed_mb``, None without one.
+        """Return the cheapest eviction that leaves ``needed_mb`` free, None if there is none.
 
-        Two copies that others hold as well may be a better choice than the only
-        copy of one model.
+        Evicting two copies that are resident elsewhere as well may cost less than evicting the
+        only copy of one model.
         """
         choices = self._by_upstream.get(view.upstream.id)
         if choices is None:
@@ -92,7 +92,7 @@
         return self._engine.weights_mb - used_mb(self._engine, kept)
 
     def _loss(self, name: str, view: WorkerView) -> float:
-        """Return how many requests are lost or late when the copy of ``name`` goes."""
+        """Return how many requests are lost or late if the copy of ``name`` is evicted."""
         running = view.open_for(name) * RUNNING_REQUEST_COST
         rate = self._demand.model_rate(self._service, name)
         others = self.holders.get(name, 1) - 1
@@ -100,7 +100,7 @@
             return running + self._demand.baseline_requests(self._service, name) + rate * DEMAND_HORIZON_SECONDS
         if others < self._demand.copies_to_keep(self._service, name):
             return running + INITIAL_COPY_REQUESTS
-        # Each holder's part of the requests grows from one in n to one in n - 1.
+        # Each holder's fraction of the requests grows from 1/n to 1/(n - 1).
         more = rate * DEMAND_HORIZON_SECONDS / (others * (others + 1))
         return running + IDLE_SECOND_COPY_REQUESTS / others**2 + more * LATE_REQUESTS_FRACTION
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -1,4 +1,4 @@
-"""Turns what callers wait for into orders to model workers."""
+"""Turns the demand of all instances into orders to model workers."""
 
 import math
 import random
@@ -39,29 +39,28 @@
 from redwingscale_daemon._internal.workspaces.use_totals import UseTotals
 from redwingscale_daemon._internal.workspaces.workspace import UseLimit
 
-# Each plan is followed by a rest of four times its length: callers' requests ask for
-# plans at any rate, and on a machine with half a core the plans of 45 workers had
-# taken all of it from the requests that pass through it.
+# Each plan is followed by a pause of four times its duration. Waiting requests trigger plans at
+# any rate: on a machine with half a core, plans for 45 workers would take all CPU time from the
+# requests that it forwards.
 PLAN_PAUSE_FACTOR = 4.0
 MIN_PLAN_PAUSE_SECONDS = 0.02
-# News go to every instance: among many, fewer plans send them. Seventy instances
-# with a message each 20 ms are more than a link of 10 Mbit/s carries.
+# Updates go to every instance, so plans are less frequent among many: a message each 20 ms to each
+# of seventy instances exceeds a link of 10 Mbit/s.
 PLAN_PAUSE_SECONDS_PER_INSTANCE = 0.0005
-# News take at most this part of the machine's link: its renewals at the store and its
-# callers' requests need the rest, and a giver that fills its link loses its lease.
+# Updates use at most this fraction of the machine's link. Lease renewals at the store and callers'
+# requests need the rest: a leader that fills its link loses its lease.
 UPDATE_LINK_FRACTION = 0.4
-# Instances take a giver that is silent for longer for one that has gone.
+# Instances treat a leader that is silent for longer as lost.
 MAX_PLAN_PAUSE_SECONDS = 0.7
 BITS_PER_MEGABIT = 1e6
-# Each plan weighs every model at every worker again; what is left waits a quarter
-# of a second.
+# Each swap evaluates every model at every worker again; further swaps wait a quarter of a second.
 MAX_SWAPS_PER_STEP = 4
-# Others are told another time: instances remember them.
+# Other addresses follow in later updates; instances remember them.
 MAX_PEERS_PER_UPDATE = 8
 
 
 class Leader:
-    """Plans while this instance holds the right to give orders; else does nothing."""
+    """Plans and sends orders while this instance holds the leader lease, else does nothing."""
 
     def __init__(
         self,
@@ -84,9 +83,10 @@
         self._server = server
         self._load_window = load_window
         self._link_mbps = link_mbps
-        # How many instances there were, as far as this one has been told.
+        # Returns the number of instances according to the updates received here.
         self._known_instances = known_instances
-        # What this instance has read, with the changes of the list.
+        # Returns what this instance has read from the store, with the changes of the upstream
+        # list.
         self._read = read
         self._changes = ListChanges()
         self._demand = Demand()
@@ -98,16 +98,16 @@
         self._instances = InstanceTotals()
         self._failing = FailingUpstreams()
         self._use = UseTotals(use_slack)
-        # For upstreams with a rate limit.
+        # Issues permits for upstreams with a rate limit.
         self._issuer = issuer or PermitIssuer()
         self._totals = NO_TOTALS
         self._schedule = UpdateSchedule()
         self._leading = False
-        # Not for secrets: it only spreads questions.
+        # Not for secrets: it only spreads peer requests over the instances.
         self._random = random.Random()
 
     def receive(self, update: InstanceUpdate) -> None:
-        """Take an instance's news; called by the threads that receive them."""
+        """Process an instance's update; called by the threads that receive updates."""
         self._demand.receive(update)
         self._failing.receive(update.outcomes)
         self._use.receive(update.instance, update.drawn)
@@ -115,18 +115,19 @@
         if self._issuer.receive(update.instance, update.rate_limits):
             self._wake.set()
         if self._instances.receive(update):
-            # It knows nothing of what is held.
+            # A new instance has no residency yet.
             self._schedule.request_full()
             self._wake.set()
         if any(entry.waiting for entry in update.demand):
             self._wake.set()
 
     def forget(self, upstream_ids: set[str]) -> None:
-        """Drop upstreams that are gone."""
+        """Drop upstreams that are no longer listed."""
         self._instances.forget(upstream_ids)
 
     def step(self) -> LeaderUpdate | None:
-        """Plan once and return what was told, None for nothing new or without the right."""
+        """Plan once and return the update sent, None without changes or without the leader lease.
+        """
         self._wake.wait(UPDATE_SECONDS)
         self._wake.clear()
         fence = self._authority.fence()
@@ -149,7 +150,7 @@
         return update
 
     def _sending_seconds(self, message_bytes: int) -> float:
-        """Return how long a message to all instances takes of the part of the link for it."""
+        """Return how long a message to all instances takes within `UPDATE_LINK_FRACTION`."""
         bits = message_bytes * 8 * len(self._instances)
         return min(MAX_PLAN_PAUSE_SECONDS, bits / (self._link_mbps * BITS_PER_MEGABIT * UPDATE_LINK_FRACTION))
 
@@ -169,7 +170,7 @@
         return self._load_window._replace(per_second=engine.cold_loads_per_second)
 
     def _end_term(self) -> None:
-        """Forget what only the order giver knows; another one may change it."""
+        """Discard state that only the leader has; another leader may change it."""
         if self._leading:
             self._leading = False
             self._schedule = UpdateSchedule()
@@ -216,7 +217,8 @@
                 self._swap_models(name, service.engine)
 
     def _swap_models(self, service: str, engine: EngineRule) -> None:
-        """Give the swaps that pay, the best one first; each changes what the next one finds."""
+        """Start the swaps that pay off, the best one first; each affects the choice of the next.
+        """
         planner = Planner(service, engine, self._demand)
         for _ in range(MAX_SWAPS_PER_STEP):
             views = self._views(service)
@@ -249,7 +251,7 @@
         return self._service_views.views(service, self._totals)
 
     def _make_update(self, fence: int) -> LeaderUpdate | None:
-        """Return the news, None where they would tell nothing and none are due."""
+        """Return the next update, None if nothing has changed and no periodic one is due."""
         periodic = self._schedule.periodic_due()
         residency, residency_complete = self._schedule.residency(
             self._workers.resident_by_id(), regular=periodic, instances=len(self._instances)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
@@ -1,4 +1,4 @@
-"""Decides which model to load where, and what makes room for it."""
+"""Decides which model to load where, and which models to evict for it."""
 
 import time
 from collections import defaultdict
@@ -16,32 +16,35 @@
 from redwingscale_daemon._internal.swaps.room import load_time
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-# A model that is at hand at some worker comes back within about a second.
+# Value of loading a model that no worker has resident but some worker has in memory or on disk,
+# relative to one from the weight store: it can be loaded within about a second when it is
+# requested.
 LOCAL_COPY_FRACTION = 0.4
-# The part of the requests that a further copy takes over which is in time for it.
+# Fraction of the requests moved to an extra copy that it serves in time.
 EXTRA_COPY_IN_TIME_FRACTION = 0.5
-# The part of a busy model's requests that a second holder saves in the long run, by the
-# crashes of only holders.
+# Fraction of a busy model's requests that a second holder saves in the long run, since single
+# holders crash.
 SINGLE_HOLDER_RISK_FRACTION = 0.08
-# Prompts of half a second and of a tenth wait to be read at such a worker.
+# Unread prompt tokens at an overloaded and at a lightly loaded worker: half a second and a tenth
+# of a second of reading.
 OVERLOADED_PROMPT_TOKENS = 12_000
 LIGHT_LOAD_PROMPT_TOKENS = 2_500
-# In requests: a load keeps a worker from other orders, and its weights take a place in
+# Cost of a load, in requests: it blocks other orders of the worker, and its weights count against
 # the rate of the weight store.
 LOAD_COST_PER_SECOND = 0.8
-# A model that is asked for now and then, and must come from the weight store, never
-# pays by its requests alone: each second that they ask in vain counts as part of
-# one. After some 15 seconds it comes in, at the cost of a model that rests.
+# A rarely requested model that only the weight store has never pays off by its requests alone.
+# Each second that requests wait in vain therefore counts as this fraction of a request; after some
+# 15 seconds the model is loaded in place of an idle one.
 OVERDUE_REQUESTS_PER_SECOND = 0.2
 MAX_OVERDUE_REQUESTS = 6.0
-# Each plan weighs each wish at each worker; one of the best is enough for one swap.
+# Each plan evaluates each proposal at each worker; one of the best is enough for one swap.
 MAX_COVERAGE_PROPOSALS = 24
 
 
 class Swap(NamedTuple):
-    """Load ``model`` at a worker after its ``evicted`` models have gone.
+    """Load ``model`` at a worker after unloading its ``evicted`` models.
 
-    ``net_gain`` is in requests, beyond what the evictions and the load cost.
+    ``net_gain`` is in requests, after the cost of the evictions and of the load.
     """
 
     view: WorkerView
@@ -53,10 +56,10 @@
 
 
 class _Proposal(NamedTuple):
-    """A copy of ``model`` that would serve ``gain`` requests, by the seconds of its load.
+    """A copy of ``model`` to load; ``gain`` returns the requests that it serves by load seconds.
 
-    A ``spare_only`` one takes the place of copies that another worker holds as
-    well; a ``calm_only`` one goes to workers that have little to read.
+    A ``spare_only`` proposal evicts only copies of models that are resident elsewhere as well; a
+    ``lightly_loaded_only`` one is for workers with few unread prompt tokens.
     """
 
     model: ModelRule
@@ -66,7 +69,7 @@
 
 
 class Planner:
-    """Finds the swap that gains most: requests that it serves against those it costs."""
+    """Finds the swap with the highest net gain: requests that it serves minus those it costs."""
 
     def __init__(self, service: str, engine: EngineRule, demand: Demand) -> None:
         self._service = service
@@ -76,11 +79,11 @@
     def best_swap(
         self, waiting: Iterable[WaitingUnit], views: Sequence[WorkerView], *, cold_allowed: bool
     ) -> Swap | None:
-        """Return the swap that gains most, whatever calls for it, None when none pays now.
+        """Return the swap with the highest net gain for any reason, None if none pays off now.
 
-        What requests ask for now is weighed together: a rare model that one waits for
-        would else take the turn of a further copy of one that turns hundreds away.
-        What may be asked for later comes after it.
+        Models that requests wait for and extra copies are compared directly: a rare model that one
+        request waits for would otherwise delay an extra copy of a model with hundreds of refused
+        requests. Models that may be requested later are considered only after these.
         """
         evictions = self._evictions(views)
         current = [
@@ -94,31 +97,30 @@
     def swap_for(
         self, waiting: WaitingUnit, views: Sequence[WorkerView], *, cold_allowed: bool
     ) -> Swap | None:
-        """Return the best way to bring in what requests wait for, None when none pays now.
+        """Return the best swap to load what requests wait for, None if none pays off now.
 
-        A worker whose models are all in use is no choice, however long the
-        request has waited: another one is free soon, and what is dropped here
-        would be asked for again at once.
+        A worker whose models are all in use is not chosen, however long the request has waited:
+        another worker is free soon, and the evicted model would be requested again at once.
         """
         proposal = self._waiting_proposal(waiting)
         proposals = [proposal] if proposal else []
         return _choose_best(proposals, self._evictions(views), views, cold_allowed=cold_allowed)
 
     def coverage_swap(self, views: Sequence[WorkerView], *, cold_allowed: bool) -> Swap | None:
-        """Return a swap that brings in a model that nobody holds, where it pays.
+        """Return a swap that loads a model without a holder, None if none pays off.
 
-        Only copies that another worker holds as well make room: where not all
-        models fit, each would else drive another one out for ever.
+        Only copies of models that are resident elsewhere as well are evicted: if not all models
+        fit, they would otherwise evict one another for ever.
         """
         evictions = self._evictions(views)
         proposals = self._coverage_proposals(evictions, views)
         return _choose_best(proposals, evictions, views, cold_allowed=cold_allowed)
 
     def extra_copy_swap(self, views: Sequence[WorkerView], *, cold_allowed: bool) -> Swap | None:
-        """Return a swap that adds a copy of a model that needs one.
+        """Return a swap that adds a copy of a model that needs one, None if none pays off.
 
-        Either its holders are overloaded, or a busy model has one holder only: a
-        crash of that one would cost all its requests for the time of a load.
+        A model needs one if its holders are overloaded, or if it is busy and has one holder only:
+        a crash of that holder would cost all its requests for the time of a load.
         """
         evictions = self._evictions(views)
         proposals = self._extra_copy_proposals(evictions, views)
@@ -168,12 +170,11 @@
     def _extra_copy_gain(
         self, name: str, holders: int, arriving: float, views: Sequence[WorkerView]
     ) -> float:
-        """Return what one more copy gains beside ``holders``, ``coming`` of them on their way.
+        """Return the gain of one more copy beside ``holders``, of which ``arriving`` are loading.
 
-        For demand that moves to a model with one copy, among some hundred workers: with
-        one copy on its way at a time, and four seconds for each, it takes as many
-        seconds as it needs copies, four times over. So copies are loaded side by side
-        as long as those on their way would not take over all that is missed.
+        If demand moves to a model with one copy, among some hundred workers, loading one copy at a
+        time takes four seconds for each copy that it needs. Copies are therefore loaded in
+        parallel as long as those that are arriving would not absorb all overload.
         """
         expected = self._expected(name)
         absorbed = self._demand.recent_rate(self._service, name) * arriving / holders
@@ -191,10 +192,10 @@
 
 
 def _arriving_copies(views: Sequence[WorkerView]) -> dict[str, float]:
-    """Return how many copies of each model are on their way, or were so lately.
+    """Return how many copies of each model are loading, or were until lately.
 
-    What was missed before a copy came fades from the demand in some seconds. The copy
-    counts as coming for as long: further ones would else be loaded for those misses.
+    Overload from before a copy was loaded fades from the demand within some seconds. The copy
+    counts as arriving for as long; otherwise further copies would be loaded for that overload.
     """
     now = time.monotonic()
     arriving: dict[str, float] = defaultdict(float)
@@ -214,7 +215,8 @@
     *,
     cold_allowed: bool,
 ) -> Swap | None:
-    """Return the swap that gains most beyond its loss and its load, if any does."""
+    """Return the swap with the highest gain beyond its loss and its load, None if none pays off.
+    """
     priced = [
         (proposal.gain(seconds) - eviction.loss - seconds * LOAD_COST_PER_SECOND, proposal, view, eviction)
         for proposal in proposals
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limited_views.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limited_views.py
@@ -1,4 +1,4 @@
-"""What upstreams with a rate limit still serve, as the planner sees it."""
+"""The planner's view of upstreams with a rate limit."""
 
 from collections.abc import Callable, Collection, Mapping, Sequence
 
@@ -6,8 +6,8 @@
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-# Of the limit of an upstream, what its models may be asked for on average:
-# requests come unevenly.
+# Fraction of an upstream's rate limit that its models may use on average: requests arrive
+# unevenly.
 USABLE_LIMIT_FRACTION = 0.7
 
 
@@ -17,12 +17,13 @@
     rate_of: Callable[[str], float],
     waiting: Collection[Unit],
 ) -> list[WorkerView]:
-    """Return ``views`` in which upstreams with a limit hold only what they can serve.
+    """Return ``views`` with rate-limited upstreams reduced to the models that they can serve.
 
-    Of the models that no other upstream holds, one with a limit keeps those that
-    are ``asked`` for least a second, up to its limit; the others count as
-    missing, so that they are loaded elsewhere. It gets no orders: they would take the
-    place of requests. Where all have limits, they are planned for as they are.
+    Of the models that no upstream without a limit has, a rate-limited one keeps those with the
+    lowest rate per second (``rate_of``), up to its limit. The others count as missing, so that
+    they are loaded elsewhere, and so do models with a ``waiting`` adapter that is resident
+    nowhere. A rate-limited upstream gets no orders: they would use up calls that requests need. If
+    all upstreams have limits, the views are returned unchanged.
     """
     unlimited = [view for view in views if view.upstream.id not in limits_by_id]
     if not unlimited:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/room.py
@@ -1,4 +1,4 @@
-"""What models take of a worker's memory, and how long their loads last."""
+"""Computes the memory that models take at a worker and how long they take to load."""
 
 from redwingscale_daemon._internal.fleet.residency import AdaptersByModel
 from redwingscale_daemon._internal.routes.service_rule import EngineRule, ModelRule
@@ -6,7 +6,7 @@
 
 
 def used_mb(engine: EngineRule, resident: AdaptersByModel) -> float:
-    """Return the memory that models and adapters take; unknown models count as the largest."""
+    """Return the memory that models and adapters take; an unknown model counts as the largest."""
     largest = max((rule.weights_mb for rule in engine.models_by_name.values()), default=0.0)
     total = 0.0
     for name, adapters in resident.items():
@@ -16,7 +16,7 @@
 
 
 def load_time(rule: ModelRule, view: WorkerView) -> tuple[float, bool]:
-    """Return the seconds that a load takes, and whether it comes from the weight store."""
+    """Return the seconds that a load takes, and whether it reads from the weight store."""
     if rule.name in view.upstream.in_memory:
         return rule.memory_seconds, False
     if rule.name in view.upstream.on_disk:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
@@ -1,4 +1,4 @@
-"""What the planner sees of a service's workers, and of what requests miss there."""
+"""The planner's view of a service: its workers, and the models that requests miss there."""
 
 from collections.abc import Callable, Mapping, Sequence
 
@@ -11,12 +11,12 @@
 from redwingscale_daemon._internal.swaps.worker_pool import WorkerPool
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-# One refused request in some seconds is no reason for a load.
+# One refused request in some seconds does not justify a load.
 MIN_REFUSED_PER_SECOND = 0.2
 
 
 class ServiceViews:
-    """Joins the list, the workers' ledgers and the rate limits of upstreams."""
+    """Combines the upstream list, the workers' ledgers and the rate limits of upstreams."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._limits_by_id = limits_by_id
 
     def views(self, service: str, totals: Totals) -> list[WorkerView]:
-        """Return the workers of ``service`` that take new work of most instances."""
+        """Return the workers of ``service`` that accept new work from most instances."""
         views = self._workers.views(self._directory.usable(service), totals)
         limits_by_id = self._limits_by_id()
         if not limits_by_id:
@@ -46,11 +46,11 @@
     def missing_models(
         self, service: str, engine: EngineRule, views: Sequence[WorkerView], totals: Totals
     ) -> list[WaitingUnit]:
-        """Return what requests miss that is at none of ``views`` and on no way there.
+        """Return the requested models that are neither resident nor being loaded at ``views``.
 
-        Behind the queue of an upstream with a limit, or before the retry time of one that
-        rejects, most requests are refused at once, and wait nowhere: their models are missing
-        all the same.
+        Behind the queue of an upstream with a rate limit, or before the retry time of one that
+        rejects requests, most requests are refused at once and wait nowhere. Their models count as
+        missing all the same.
         """
         present = {name for view in views for name in [*view.resident, view.loading]}
         waiting = [
