--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/engine_report.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/engine_report.py
@@ -1,4 +1,4 @@
-"""What a model worker reports about itself."""
+"""The state that a model worker reports about itself."""
 
 from typing import NamedTuple
 
@@ -7,12 +7,12 @@
 
 
 class EngineReport(NamedTuple):
-    """As of some hundred milliseconds ago.
+    """A worker's state, some hundred milliseconds old.
 
-    ``orders_accepted`` rises by one with each order since the process began;
-    while ``busy`` one of them is being carried out. ``arriving`` adapters take
-    their place already. ``started_at_ms`` tells one start of the process from the next, None
-    where the platform doesn't tell.
+    ``orders_accepted`` increases by one with each order since the process started; ``busy`` is
+    true while one of them is carried out. ``arriving`` adapters are being loaded and occupy their
+    slots already. ``started_at_ms`` tells one start of the process from another; it is None if the
+    platform does not report it.
     """
 
     resident: AdaptersByModel
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order.py
@@ -1,4 +1,4 @@
-"""An order to a model worker."""
+"""Orders to model workers and their results."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -7,22 +7,22 @@
 
 
 class Load(NamedTuple):
-    """Bring ``unit`` into the worker's memory."""
+    """Load ``unit`` into the worker's memory."""
 
     unit: Unit
 
 
 class Unload(NamedTuple):
-    """Drop ``unit`` when its runs have ended."""
+    """Unload ``unit`` once the requests that run on it have ended."""
 
     unit: Unit
 
 
 class Order(NamedTuple):
-    """``action`` is carried out only while the worker has accepted ``orders_accepted`` orders.
+    """An order; carried out only while the worker has accepted ``orders_accepted`` orders.
 
-    An order that got no answer may arrive seconds later, after newer ones: the
-    number no longer fits then, and the worker refuses it.
+    An order without an answer may be delivered seconds later, after newer ones: its number no
+    longer matches then, and the worker refuses it.
     """
 
     action: Load | Unload
@@ -32,7 +32,11 @@
 
 
 class OrderResult(Enum):
-    """What the worker said to an order."""
+    """A worker's answer to an order.
+
+    `IN_EFFECT` means that the unit is loaded or unloaded already, `ACCEPTED` that it will be.
+    `UNKNOWN` stands for no answer: the order may be carried out or not.
+    """
 
     ACCEPTED = "accepted"
     IN_EFFECT = "holds"
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_client.py
@@ -1,4 +1,4 @@
-"""Calls to model workers: reports and orders."""
+"""HTTP client for the reports of model workers and the orders to them."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -17,13 +17,13 @@
 from redwingscale_daemon._internal.utils.sockets import RESET_ON_CLOSE
 
 CONNECT_TIMEOUT_SECONDS = 0.5
-# A worker answers in a few milliseconds or, when it means to lose the answer, never.
+# A worker answers within a few milliseconds or, if the answer is lost, never.
 RESPONSE_TIMEOUT_SECONDS = 0.6
 _OK = 200
 
 
 class EngineCalls(NamedTuple):
-    """How the calls are written on a platform."""
+    """The encoding of the calls on a platform."""
 
     report_target: str
     order_target: str
@@ -35,11 +35,11 @@
 
 
 class OrderClient:
-    """Each call is sent once, on a kept connection.
+    """Sends each call once, on a persistent connection.
 
-    A connection without an answer is reset, not ended: an order that a cut holds up
-    would else be delivered when the cut ends, seconds after another giver's first
-    one. With a reset the sender's buffer is dropped.
+    A connection without an answer is reset rather than closed: an order delayed by a network cut
+    would otherwise be delivered when the cut ends, seconds after the first order of another
+    leader. A reset drops the sender's buffer.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
     ) -> None:
         self._calls = calls
         self._on_result = on_result
-        # Takes an upstream id and what an answer says of the upstream.
+        # Called with an upstream id and the backpressure in the upstream's answer.
         self._on_backpressure = on_backpressure
         self._pools = urllib3.PoolManager(
             num_pools=64,
@@ -64,7 +64,7 @@
         )
 
     def report(self, upstream: Upstream) -> EngineReport | None:
-        """Return the worker's report, None where there is no sound answer."""
+        """Return the worker's report, None without a valid answer."""
         try:
             response = self._pools.request("GET", _url(upstream, self._calls.report_target))
             self._note_backpressure(upstream, response)
@@ -75,7 +75,7 @@
             return None
 
     def order(self, upstream: Upstream, order: Order) -> OrderResult:
-        """Send ``order``; `OrderResult.UNKNOWN` when it may be carried out or not."""
+        """Send ``order``; return `OrderResult.UNKNOWN` if it may be carried out or not."""
         result = self._send(upstream, order)
         self._on_result(result)
         return result
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/tasks.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/tasks.py
@@ -1,4 +1,4 @@
-"""What one model worker is to do next."""
+"""Tasks of a model worker."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class SwapTask(NamedTuple):
-    """Drop ``evicted`` and load ``model``; ``load_seconds`` is what the load should take."""
+    """Unload ``evicted`` and load ``model``, which is expected to take ``load_seconds``."""
 
     evicted: tuple[str, ...]
     model: str
@@ -14,7 +14,7 @@
 
 
 class AdapterTask(NamedTuple):
-    """Load the adapter of ``unit``, dropping ``evicted`` ones first."""
+    """Load the adapter of ``unit`` after unloading the ``evicted`` ones."""
 
     unit: Unit
     evicted: tuple[Unit, ...]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -1,4 +1,4 @@
-"""What one worker holds, as its reports and its answers to orders tell it."""
+"""Tracks what is resident at one worker, by its reports and its answers to orders."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -21,16 +21,18 @@
 
 
 class WorkerLedger:
-    """Known from a report, then kept by the answers; unknown after what is no clear answer.
+    """A worker's state: taken from a report, then updated by the answers to orders.
 
-    A report of another start of the process says that all of it is void: the worker
-    holds nothing and gets no order until the list names the new start, which has a
-    ledger of its own.
+    After an ambiguous answer the state is unknown until the next report.
 
-    An unload of an adapter that has gone is answered like one that is carried out, and only
-    the latter is counted by the worker. After an order without an answer, which may have
-    dropped it, a report has to tell the number: an order with too high a number may be
-    carried out seconds later, beside what was loaded in its place.
+    A report of another start of the process supersedes the ledger: nothing is resident at the
+    worker any more, and it gets no order until the upstream list has the new start, which gets its
+    own ledger.
+
+    An unload of an adapter that is not resident gets the same answer as one that is carried out,
+    but the worker counts only the latter. After an order without an answer, which may have
+    unloaded the adapter, the number must be read from a report: an order with too high a number
+    may be carried out seconds later, in addition to what was loaded in its place.
     """
 
     def __init__(
@@ -42,22 +44,22 @@
         self._upstream = upstream
         self._engine = engine
         self.report: EngineReport | None = None
-        # Of this start of the process and of former ones under its name.
+        # Loads sent to this start of the process and to former ones with its name.
         self.unanswered = list(unanswered)
         self.superseded = False
         self._unanswered_until = float("-inf")
 
     @property
     def orders_accepted(self) -> int:
-        """The number that the next order must name; 0 while it isn't known."""
+        """The number that the next order must carry; 0 while it is unknown."""
         return self.report.orders_accepted if self.report else 0
 
     def invalidate(self) -> None:
-        """Hold nothing for known until the next report."""
+        """Treat the worker's state as unknown until the next report."""
         self.report = None
 
     def check_start(self, report: EngineReport) -> bool:
-        """Return whether ``report`` is of this start of the process; else void the ledger."""
+        """Return whether ``report`` is of this start of the process; else supersede the ledger."""
         if report.started_at_ms == self._upstream.started_at_ms:
             return True
         self.superseded = True
@@ -71,7 +73,7 @@
         return False
 
     def resident(self, evicting: frozenset[str], evicting_adapters: frozenset[Unit]) -> AdaptersByModel | None:
-        """Return what requests may be sent for, None while it isn't known."""
+        """Return the models and adapters that requests may be sent for, None while unknown."""
         if self.superseded:
             return {}
         if self.report is None:
@@ -83,7 +85,7 @@
         }
 
     def note_order(self, action: Load | Unload, result: OrderResult) -> None:
-        """Count an order that the worker has taken, or may take later."""
+        """Count an order that the worker has accepted, or may accept later."""
         report = self.report
         assert report is not None
         if result is OrderResult.UNKNOWN:
@@ -107,11 +109,11 @@
         return time.monotonic() < self._unanswered_until
 
     def has_adapter(self, unit: Unit) -> bool:
-        """Return whether the adapter of ``unit`` is there, as far as it is known."""
+        """Return whether the adapter of ``unit`` is known to be resident."""
         return self.report is not None and unit.adapter in self.report.resident.get(unit.model, ())
 
     def note_adapter(self, unit: Unit, *, resident: bool) -> None:
-        """Note an adapter that has come or gone."""
+        """Note that an adapter has been loaded or unloaded."""
         report = self.report
         assert report is not None
         adapters = report.resident.get(unit.model, frozenset())
@@ -122,7 +124,7 @@
         )
 
     def has_room(self, unit: Unit) -> bool:
-        """Return whether ``unit`` fits beside all that is there or may still arrive."""
+        """Return whether ``unit`` fits beside all that is resident or may still be loaded."""
         engine, report = self._engine(), self.report
         if engine is None or report is None or unit.model not in engine.models_by_name:
             return False
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -1,4 +1,4 @@
-"""Gives the orders to one model worker, one after the other."""
+"""Sends orders to one model worker, one after the other."""
 
 import threading
 import time
@@ -18,32 +18,32 @@
 from redwingscale_daemon._internal.swaps.unanswered import UnansweredLoad
 from redwingscale_daemon._internal.swaps.worker_ledger import WorkerLedger
 
-# Instances hear within some milliseconds that a model goes; what is on its way
-# to it arrives meanwhile.
+# Instances stop routing to a model within some milliseconds after its eviction is announced;
+# requests that are in flight arrive meanwhile.
 ROUTE_AWAY_SECONDS = 0.12
-# Reports are a tenth of a second old; each is a call that costs.
+# Reports are a tenth of a second old, and each poll is a call to the worker.
 POLL_SECONDS = 0.15
-# The same for an adapter, whose load takes no longer than this.
+# `ROUTE_AWAY_SECONDS` of an adapter, which takes no longer than this to load.
 ADAPTER_ROUTE_AWAY_SECONDS = 0.02
-# An adapter is there after 5 to 14 ms, later while many come at once.
+# An adapter is loaded within 5 to 14 ms, later if many are loaded at once.
 ADAPTER_LOAD_SECONDS = 0.02
-# An unload waits for its runs; streams last a few seconds.
+# An unload waits for the requests that run on the unit; streams last a few seconds.
 UNLOAD_TIMEOUT_SECONDS = 12.0
-# An upstream with a rate limit or a retry time may take a call later than this.
+# An upstream with a rate limit or a retry time may accept a call only after this time.
 MAY_CALL_TIMEOUT_SECONDS = 4.0
 # Loads take up to three times as long while many run at once.
 LOAD_TIMEOUT_FACTOR = 4.0
-# A worker whose report could not be had is left alone for a moment.
+# Pause before the next task for a worker whose report could not be read.
 UNREACHABLE_PAUSE_SECONDS = 0.5
 
 
 class OrderAuthority(NamedTuple):
-    """Who gives the orders.
+    """The authority to send orders, and the fence that they carry.
 
-    ``fence`` returns the number to use now, None without the right. Where another
-    process gave the orders before, ``succeeds_another`` tells so, and its last
-    order is ``handover_pause_seconds`` old when the first one is given here. ``may_call`` tells
-    whether the rate limit and the retry time of an upstream let one more call through now.
+    ``fence`` returns the fence to use now, None without the leader lease. ``succeeds_another``
+    returns whether another process was leader before; its last order is ``handover_pause_seconds``
+    old when the first one is sent here. ``may_call`` returns whether the rate limit and the retry
+    time of an upstream allow one more call now.
     """
 
     instance: str
@@ -54,15 +54,14 @@
 
 
 class WorkerOrders:
-    """The ledger of one worker; one task at a time, each in a thread of its own.
+    """Runs the tasks of one worker, one at a time, each in a thread of its own.
 
-    A thread that waits for the next task would be one for each worker: 78 of them at
-    an order giver that has three or four tasks at a time.
+    A thread that waits for the next task would be one for each worker: 78 of them at a leader that
+    has three or four tasks at a time.
 
-    What the worker holds is known from its report, then kept by its answers. An
-    order without an answer leaves it unknown, and nothing more is loaded until
-    a report tells: two loads that both arrive would overfill the memory, and
-    the worker would crash under its running models.
+    The worker's state is taken from its report, then updated by its answers. An order without an
+    answer makes it unknown, and nothing more is loaded until the next report: two loads that both
+    arrive would overfill the memory, and the worker would crash with its running models.
     """
 
     def __init__(
@@ -88,7 +87,7 @@
 
     @property
     def free(self) -> bool:
-        """Whether a task can be given."""
+        """Whether a task can be started."""
         if self.ledger.superseded:
             return False
         return self._task is None and time.monotonic() >= self._blocked_until
@@ -101,15 +100,15 @@
 
     @property
     def ready_in(self) -> float:
-        """Seconds until the model that is being loaded should be there."""
+        """Seconds until the model that is being loaded is expected to be resident."""
         return max(0.0, self._ready_at - time.monotonic())
 
     def resident(self) -> AdaptersByModel | None:
-        """Return what requests may be sent for, None while it isn't known."""
+        """Return the models and adapters that requests may be sent for, None while unknown."""
         return self.ledger.resident(self._evicting_models, self._evicting_adapters)
 
     def start(self, task: Task) -> None:
-        """Carry out ``task``; only while `free`."""
+        """Run ``task`` in a new thread; only while `free`."""
         self._task = task
         if isinstance(task, SwapTask):
             self._ready_at = time.monotonic() + ROUTE_AWAY_SECONDS + task.load_seconds
@@ -117,14 +116,14 @@
         try:
             thread.start()
         except RuntimeError as error:
-            # Without room for a thread the task is planned anew a moment later; a
-            # worker left busy with it would never get another order.
+            # If no thread can be started, the task is planned again a moment later; a worker that
+            # stayed busy with it would never get another order.
             log_event("order_task_failed", level="ERROR", error=repr(error))
             self._blocked_until = time.monotonic() + UNREACHABLE_PAUSE_SECONDS
             self._finish_task()
 
     def refresh(self) -> None:
-        """Ask for a report at the next task, or now when there is none."""
+        """Let the next task start with a report; no effect while a task runs."""
         if self._task is None:
             self.ledger.invalidate()
 
@@ -132,7 +131,7 @@
         try:
             self._carry_out(task)
         except Exception as error:
-            # The worker must become free again: it would never get another order.
+            # The worker must become free again, or it would never get another order.
             log_event("order_task_failed", level="ERROR", error=repr(error))
             self.ledger.invalidate()
         finally:
@@ -154,8 +153,8 @@
             case AdapterTask():
                 done = self._load_adapter(task)
         if not done:
-            # Whatever went wrong, the next task begins with a report; one that is
-            # read at once would be from before what went wrong.
+            # Whatever failed, the next task starts with a report; a report that is read at once
+            # would be from before the failure.
             self.ledger.invalidate()
             self._blocked_until = time.monotonic() + POLL_SECONDS
 
@@ -168,7 +167,7 @@
         return True
 
     def _query_report(self) -> EngineReport | None:
-        """Return the worker's report, None without one or from another start of it."""
+        """Return the worker's report, None without one or with one of another start."""
         if not self._authority.may_call(self.upstream.id):
             return None
         report = self._client.report(self.upstream)
@@ -178,7 +177,7 @@
         return None
 
     def _swap(self, task: SwapTask) -> bool:
-        """Return whether what the worker holds is still known for certain."""
+        """Return whether the worker's state is still known for certain."""
         if task.evicted:
             self._evicting_models = frozenset(task.evicted)
             self._on_change()
@@ -187,8 +186,8 @@
             if not self._unload(name):
                 return False
         if not self.ledger.has_room(Unit(task.model)):
-            # The plan was made from an older list; what the report has just told
-            # stays known, so that the next plan fits.
+            # The plan was made from an older list; the state that was just reported is kept, so
+            # that the next plan fits.
             log_event("swap_has_no_room", upstream=self.upstream.id, model=task.model)
             return True
         unit = Unit(task.model)
@@ -222,7 +221,8 @@
         for unit in evicted:
             result = self._order(Unload(unit))
             if result is not OrderResult.IN_EFFECT:
-                # A request still uses it: it goes later, and its place isn't free yet.
+                # A request still uses the adapter: it is unloaded later, and its slot is not free
+                # yet.
                 return False
             if self.ledger.report is None:
                 return False
@@ -237,7 +237,7 @@
         return True
 
     def _order(self, action: Load | Unload) -> OrderResult:
-        """Send one order, counted in the ledger if the worker has taken it."""
+        """Send one order, and count it in the ledger if the worker has accepted it."""
         if not self._wait_until_call_allowed():
             return OrderResult.REFUSED
         fence = self._authority.fence()
@@ -259,7 +259,7 @@
         return result
 
     def _wait_until_call_allowed(self) -> bool:
-        """Wait until the worker takes a call; return whether it does."""
+        """Wait until the worker may be called; return False if that takes too long."""
         end = time.monotonic() + MAY_CALL_TIMEOUT_SECONDS
         while not self._authority.may_call(self.upstream.id):
             if time.monotonic() > end:
@@ -268,7 +268,11 @@
         return True
 
     def _poll_until(self, condition: Callable[[EngineReport], bool], timeout_seconds: float) -> bool:
-        """Poll reports until one that is not busy ``holds``; keep it as the ledger."""
+        """Poll for a report that is not busy and up to date; return whether ``condition`` applies.
+
+        A report is up to date if it counts all orders that the worker has accepted. It becomes the
+        state in the ledger.
+        """
         expected = self.ledger.orders_accepted
         end = time.monotonic() + timeout_seconds
         while time.monotonic() < end:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
@@ -1,4 +1,4 @@
-"""The model workers that the order giver gives orders to."""
+"""The model workers that the leader sends orders to."""
 
 from collections.abc import Callable, Iterable
 
@@ -13,12 +13,12 @@
 from redwingscale_daemon._internal.swaps.worker_orders import OrderAuthority, WorkerOrders
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-# By the name of a service, None for one without model workers.
+# Returns the rule of a service's engines, None for a service without model workers.
 EngineOf = Callable[[str], EngineRule | None]
 
 
 class WorkerPool:
-    """Keeps the orders of each listed worker, while this instance is the order giver."""
+    """Keeps the `WorkerOrders` of each listed worker while this instance is the leader."""
 
     def __init__(
         self,
@@ -32,14 +32,15 @@
         self._authority = authority
         self._on_change = on_change
         self._by_id: dict[str, WorkerOrders] = {}
-        # Of workers that have gone: the same process may start again under its name.
+        # Loads sent to workers that are no longer listed: a process may restart under the same
+        # name.
         self._unanswered_by_name: dict[str, list[UnansweredLoad]] = {}
 
     def __len__(self) -> int:
         return len(self._by_id)
 
     def follow(self, upstreams: Iterable[Upstream]) -> None:
-        """Begin with workers that have come, end those that are gone."""
+        """Add workers that are new in the list and remove those that are no longer listed."""
         listed = {upstream.id: upstream for upstream in upstreams}
         for key in self._by_id.keys() - listed.keys():
             former = self._by_id.pop(key)
@@ -50,25 +51,26 @@
             self._by_id[key].upstream = upstream
 
     def stop(self) -> None:
-        """Leave all, each after its task; another instance may give orders to them."""
+        """Drop all workers, each after its running task; another instance may order from now on.
+        """
         self._by_id = {}
 
     def start_task(self, upstream_id: str, task: Task) -> None:
-        """Let a worker that is free carry out ``task``."""
+        """Start ``task`` at a worker that is free."""
         self._by_id[upstream_id].start(task)
 
     def resident_by_id(self) -> dict[str, AdaptersByModel | None]:
-        """Return what each worker holds, None where it isn't known."""
+        """Return what is resident at each worker, None where it is unknown."""
         return {key: worker.resident() for key, worker in self._by_id.items()}
 
     def ready_in_by_model(self) -> dict[str, float]:
-        """Return the seconds until each model that is being loaded should be there."""
+        """Return the expected seconds until each model that is being loaded is resident."""
         return {
             worker.loading: worker.ready_in for worker in self._by_id.values() if worker.loading
         }
 
     def views(self, usable: Iterable[Upstream], totals: Totals) -> list[WorkerView]:
-        """Return those of ``usable`` that take most instances' requests, as the planner sees them."""
+        """Return the planner's views of those ``usable`` workers that serve most instances."""
         without = totals.cut_off | totals.rejecting
         reached = [one for one in usable if one.id not in without]
         return [self._view(one, totals) for one in reached if one.id in self._by_id]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_view.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_view.py
@@ -8,11 +8,12 @@
 
 
 class WorkerView(NamedTuple):
-    """``free`` workers have no order under way and take new work.
+    """A worker's state at one point in time.
 
-    ``loading`` is the model that it loads now, empty for none; ``settled_at``
-    is the monotonic time at which each model came, by model. ``prompt_tokens``
-    wait there to be read; ``open_by_unit`` are the requests that it runs.
+    ``free`` workers have no order in flight and accept new work. ``loading`` is the model that is
+    being loaded, empty for none; ``settled_at`` gives the monotonic time at which each model was
+    loaded, by model. ``prompt_tokens`` are not read yet; ``open_by_unit`` counts the requests that
+    run, by unit.
     """
 
     upstream: Upstream
@@ -25,13 +26,13 @@
     open_by_unit: dict[Unit, int]
 
     def open_for(self, model: str) -> int:
-        """Return how many requests for ``model`` and its adapters it runs."""
+        """Return how many requests for ``model`` and its adapters run here."""
         return sum(count for unit, count in self.open_by_unit.items() if unit.model == model)
 
     def adapters(self) -> list[Unit]:
-        """Return the adapters that it holds."""
+        """Return the resident adapters."""
         return [Unit(name, adapter) for name, names in self.resident.items() for adapter in names]
 
     def idle_adapters(self) -> list[Unit]:
-        """Return the adapters that it holds and no request uses."""
+        """Return the resident adapters that no request uses."""
         return [unit for unit in self.adapters() if not self.open_by_unit.get(unit)]
