--- a/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
@@ -1,4 +1,4 @@
-"""A service of small workers, a store in memory, and a scripted model worker."""
+"""A service of small workers, an in-memory store, and a scripted model worker."""
 
 import time
 
@@ -47,13 +47,13 @@
 
 
 def overload_update(model, arrivals, overloads):
-    """News of requests that a model's holders were too busy for."""
+    """Return an update with requests for a model whose holders were too busy."""
     entry = DemandEntry(SERVICE, model, "", arrivals, 0, 0.0, overloads)
     return InstanceUpdate("i1", [entry], [], [], [])
 
 
 class MemoryStore:
-    """One row, with the faults that a store can have."""
+    """One row, with faults to inject."""
 
     def __init__(self):
         self.version = 0
@@ -62,7 +62,7 @@
         self.lose_answer = None
         self.calls = []
         self.history_gone = False
-        # What happens while a call waits for a change, by the seconds that it waits.
+        # Called with the seconds to wait while a call waits for a change.
         self.during_wait = lambda seconds: None
 
     def read(self, table, partition):
@@ -100,7 +100,7 @@
 
 
 class ScriptedWorker:
-    """An engine in place of `OrderClient`: carries orders out at once, unless told otherwise."""
+    """Replaces `OrderClient`: carries orders out at once, except those with scripted results."""
 
     def __init__(self, resident=("a",)):
         self.resident = {name: frozenset() for name in resident}
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_adapter_spread.py
@@ -1,4 +1,4 @@
-"""A busy adapter of a model with many copies: its callers are not tied to one worker."""
+"""An overloaded adapter of a model with many copies is loaded at several workers."""
 
 import time
 
@@ -13,7 +13,7 @@
 
 UNIT = Unit("a", "a1")
 SLOTS = 4
-# Requests that one worker answers in time in a second.
+# Requests per second that one worker answers in time.
 WORKER_PER_SECOND = 6
 STEP_SECONDS = 0.25
 
@@ -33,7 +33,7 @@
 
 
 def late_fraction(clock, seconds, holders, spread, demand, copies, per_second):
-    """Play ``per_second`` requests for one adapter; return the part that was late."""
+    """Simulate ``per_second`` requests for one adapter; return the fraction that is late."""
     late = sent = 0
     for _ in range(int(seconds / STEP_SECONDS)):
         clock[0] += STEP_SECONDS
@@ -55,8 +55,8 @@
 
 
 def test_overloaded_adapter_gets_as_many_holders_as_its_requests_need(clock):
-    # Ten workers hold a busy model and one of them the adapter that a lot's clerks ask
-    # for: nine were calm while requests were refused behind the tenth's queue.
+    # Guards against an adapter that stays at one of ten workers with its model: its requests would
+    # be refused behind that worker's queue while the nine others are lightly loaded.
     spread, demand, holders = AdapterSpread(), Demand(), {0}
     late_fraction(clock, 5.0, holders, spread, demand, copies=10, per_second=24)
     assert late_fraction(clock, 5.0, holders, spread, demand, copies=10, per_second=24) == 0
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_load_rate.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_load_rate.py
@@ -1,4 +1,4 @@
-"""Loads from the weight store stay under its rate, also across two order givers."""
+"""Loads from the weight store stay within its rate, also across a change of leader."""
 
 import time
 
@@ -33,8 +33,8 @@
 
 
 def test_successor_assumes_a_full_window_of_the_former_leader(clock):
-    # The former giver may have begun a whole window of loads just before its end,
-    # three seconds ago: none may begin until these have left the window.
+    # The former leader may have started a full window of loads just before it ended, three seconds
+    # ago: no load may start until those have left the window.
     rate = LoadRate()
     rate.assume_full_window(CEILING, handover_pause_seconds=3.0)
     assert start_all(rate) == 0
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_order_client.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_order_client.py
@@ -1,4 +1,4 @@
-"""Orders over links that hold up what passes them."""
+"""Orders over links that delay traffic."""
 
 import time
 
@@ -44,10 +44,10 @@
 
 
 def test_order_delayed_by_a_network_cut_is_never_delivered(model_worker, link, client):
-    # The order giver's failure domain is cut off just as it sends an order. Another
-    # instance takes over. When the cut ends, seconds later, the network delivers
-    # what is still in the sender's buffer: an order of the former giver would come
-    # between those of the new one.
+    # Guards against an order that is delivered after the leader has changed: the leader's failure
+    # domain is cut off just as it sends an order, and another instance becomes leader. When the
+    # cut ends, seconds later, the network delivers what is still in the sender's buffer, and the
+    # former leader's order would arrive between those of the new one.
     worker = upstream("u0", "a")._replace(port=link.port)
     assert client.report(worker) is not None
     link.hold_to = True
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
@@ -1,4 +1,4 @@
-"""Which model comes in, and what goes for it."""
+"""Which model is loaded, and which models are evicted for it."""
 
 import time
 
@@ -47,8 +47,8 @@
 
 
 def test_busy_model_is_never_dropped_for_a_rare_one(planner, demand):
-    # One request for a rare model would drive out a model that is asked for
-    # several times a second, and all its callers would wait for its load.
+    # Guards against one request for a rare model that evicts a model with several requests per
+    # second: all its callers would wait for its load.
     for _ in range(8):
         demand.receive(update(a=10, b=10))
     assert planner.swap_for(waiting("c"), [view("u0", "a", "b")], cold_allowed=True) is None
@@ -75,8 +75,8 @@
 
 
 def test_model_without_requests_is_evicted_in_time(planner, demand, monkeypatch):
-    # Two models fill the worker and nobody asks for them. A third one is asked for
-    # now and then: it would wait for ever if the others were always expected.
+    # Two models without requests fill the worker, and a third is requested now and then: it would
+    # wait for ever if demand for the others were always expected.
     views = [view("u0", "a", "b")]
     demand.receive(update(c=1))
     assert planner.swap_for(waiting("c", 3), views, cold_allowed=True) is None
@@ -87,8 +87,8 @@
 
 
 def test_rare_model_is_not_starved(planner, demand, monkeypatch):
-    # A model is asked for once in ten seconds, and no worker has a copy at hand: by
-    # its requests alone its load never pays, and its callers would never be served.
+    # A model is requested once in ten seconds, and no worker has a local copy: by its requests
+    # alone its load never pays off, and its callers would never be served.
     views = [view("u0", "a", "b")]
     demand.receive(update(a=1, b=1))
     real = time.monotonic
@@ -143,8 +143,8 @@
 
 
 def test_adapter_in_use_is_never_evicted(engine):
-    # The order to drop an adapter that requests use is taken, and waits for their
-    # end: for seconds the worker takes no other order, while new ones keep coming.
+    # An order to unload an adapter in use is accepted and waits for the end of its requests: the
+    # worker accepts no other order for seconds, while new requests arrive.
     used = {Unit("a", "x"): 1, Unit("a", "y"): 2}
     full = view("u0", "a")._replace(resident={"a": frozenset({"x", "y"})}, open_by_unit=used)
     assert choose_worker(Unit("a", "z"), [full], engine.adapter_slots) is None
@@ -159,9 +159,9 @@
 
 
 def test_extra_copy_of_an_overloaded_model_precedes_a_rare_one(planner, demand):
-    # A model is asked for twenty times a second and most are refused, as its one
-    # holder is full. Each time a worker is free, one request for a rare model takes
-    # its next seconds: the busy model stays with one holder for as long as that lasts.
+    # A model has twenty requests per second and most are refused, since its one holder is full. If
+    # one request for a rare model came first each time a worker is free, the busy model would keep
+    # one holder for as long as that lasts.
     for _ in range(10):
         demand.receive(overload_update("a", arrivals=5, overloads=4))
     views = [view("u0", "a", "b", free=False), view("u1", "c", "d")]
@@ -171,8 +171,8 @@
 
 
 def test_model_that_a_request_waits_for_precedes_one_without_requests(planner):
-    # The process has just started, and all models are equally likely to be asked for.
-    # The room that is left must go to the one that a request waits for already.
+    # The process has just started, and all models are equally likely to be requested. The free
+    # room must go to the one that a request waits for already.
     swap = planner.best_swap(
         [waiting("f")], [view("u0", "a", in_memory=["c", "f"])], cold_allowed=True
     )
@@ -187,8 +187,8 @@
 
 
 def test_rate_falls_as_soon_as_requests_end(demand, monkeypatch):
-    # Demand has moved on. A load that is begun for what was asked for until now takes
-    # six seconds, and nobody is left to be served.
+    # Guards against a load for demand that has moved away: it takes six seconds, and no request is
+    # left to be served.
     for _ in range(10):
         demand.receive(update(a=10))
     busy = demand.model_rate(SERVICE, "a")
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_rate_limited_views.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_rate_limited_views.py
@@ -1,4 +1,4 @@
-"""What the plan leaves to upstreams with a rate limit."""
+"""Planning for upstreams with a rate limit."""
 
 import pytest
 from redwingscale_daemon._internal.fleet.unit import Unit
@@ -11,7 +11,7 @@
 from redwingscale_daemon._internal.swaps.service_views import ServiceViews
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-RATES_BY_MODEL = {"busy": 4.0, "calm": 0.5, "rare": 0.1, "shared": 2.0}
+RATES_BY_MODEL = {"busy": 4.0, "light": 0.5, "rare": 0.1, "shared": 2.0}
 
 
 def view(name, **resident):
@@ -24,7 +24,7 @@
 @pytest.fixture
 def views():
     none = frozenset()
-    return [view("sound", shared=none), view("w", busy=none, calm=none, rare=none, shared=none)]
+    return [view("unlimited", shared=none), view("w", busy=none, light=none, rare=none, shared=none)]
 
 
 def planned(views, rates_by_id, waiting=()):
@@ -33,22 +33,23 @@
 
 
 def test_busy_models_of_a_rate_limited_upstream_count_as_missing(views):
-    # Guards against a busy model that stays behind a limit that a rare one would fit into.
+    # Guards against a busy model that stays behind a limit within which a rare one could be
+    # served.
     assert planned(views, {"w": 1.0}) == {
-        "sound": (["shared"], True),
-        "w": (["calm", "rare"], False),
+        "unlimited": (["shared"], True),
+        "w": (["light", "rare"], False),
     }
 
 
 def test_model_with_requests_waiting_for_its_adapter_counts_as_missing(views):
-    # Guards against an adapter that is never loaded, as its model's holder takes no orders.
-    assert planned(views, {"w": 1.0}, [Unit("rare", "a1")])["w"] == (["calm"], False)
+    # Guards against an adapter that is never loaded since its model's holder gets no orders.
+    assert planned(views, {"w": 1.0}, [Unit("rare", "a1")])["w"] == (["light"], False)
 
 
 def test_views_are_unchanged_if_all_upstreams_have_limits(views):
-    # Guards against a service without a plan while all its upstreams have limits.
-    rates = {"w": 1.0, "sound": 1.0}
-    assert planned(views, rates)["w"] == (["busy", "calm", "rare", "shared"], True)
+    # Guards against a service that is not planned for while all its upstreams have limits.
+    rates = {"w": 1.0, "unlimited": 1.0}
+    assert planned(views, rates)["w"] == (["busy", "light", "rare", "shared"], True)
 
 
 def missing(rates_by_id, views, totals=NO_TOTALS):
@@ -63,7 +64,7 @@
 
 
 def test_model_whose_requests_are_refused_at_once_counts_as_missing(views):
-    # Guards against a model that is loaded nowhere, as none of its requests wait.
+    # Guards against a model that is loaded nowhere since none of its requests wait.
     limited = limit_resident_models(views, {"w": 1.0}, RATES_BY_MODEL.__getitem__, ())
     assert missing({"w": 1.0}, limited) == ["busy"]
     assert missing({}, views) == []
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_restarted_workers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_restarted_workers.py
@@ -1,4 +1,4 @@
-"""Orders to a worker that starts again under the name that it had."""
+"""Orders to a worker that restarts under the same name."""
 
 import pytest
 from redwingscale_daemon._internal.swaps.order import Load, OrderResult
@@ -23,8 +23,8 @@
 
 
 def test_report_of_another_start_supersedes_the_ledger(orders, worker):
-    # The worker crashes and is back, empty, before the list tells. The ledger has it at
-    # two models: requests were sent for them, and orders were counted from the old number.
+    # The worker crashes and restarts empty before the upstream list is updated. Guards against
+    # requests sent for the two models in the ledger, and against orders with the former number.
     one = orders(upstream("w")._replace(started_at_ms=1))
     worker.started_at_ms = 1
     one.start(SwapTask((), "b", 0.01))
@@ -41,9 +41,9 @@
 
 
 def test_room_is_reserved_for_a_pending_load_of_the_former_start(orders, worker, engine):
-    # A load got no answer and the worker crashed. It comes back under its name and is
-    # given two models, which fill it; then the old load arrives with the number that it
-    # was sent with, is accepted as the third, and the worker crashes once more.
+    # A load got no answer and the worker crashed. It restarts under the same name and loads two
+    # models, which fill it. Then the old load arrives with its former number, is accepted as the
+    # third, and the worker crashes again.
     pending = UnansweredLoad(2, 70.0, float("inf"))
     worker.resident = {}
     one = orders(upstream("w"), [pending])
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_shifted_load.py
@@ -1,7 +1,7 @@
-"""Demand moves to a model with one copy, among many workers: what callers get.
+"""Demand moves to a model with one copy, among many workers.
 
-Workers are played in steps: each answers so many requests a second of whatever it holds,
-a request goes to any holder, and what is beyond the holders' rate is late.
+Workers are simulated in steps: each answers a fixed number of requests per second for any resident
+model, a request goes to any holder, and requests beyond the holders' rate are late.
 """
 
 import random
@@ -22,7 +22,7 @@
 
 
 class Shape(NamedTuple):
-    """A deployment: ``per_second`` requests that one worker answers in time."""
+    """A deployment; each worker answers ``per_second`` requests in time."""
 
     workers: int
     per_second: float
@@ -31,7 +31,7 @@
 
 
 class Simulation:
-    """Steps of a quarter of a second on a clock of its own."""
+    """Simulates steps of a quarter of a second on its own clock."""
 
     def __init__(self, shape, clock):
         self.shape, self.clock = shape, clock
@@ -41,7 +41,7 @@
             16, 90_000, 210.0, 8, 100.0,
             {name: ModelRule(name, 70.0, 1.0, 1, shape.load_seconds, 1.2, 0.5) for name in names},
         )  # fmt: skip
-        # Each worker has three; busy ones of before have several copies, "m0" has one.
+        # Each worker has up to three models; formerly busy ones have several copies, "m0" has one.
         busy = names[1:6]
         self.resident = [{rng.choice(busy), f"m{n + 6}"} for n in range(shape.workers)]
         self.resident[0].add("m0")
@@ -52,7 +52,7 @@
         self.rates = dict.fromkeys(busy, shape.hot_per_second / 10)
 
     def step(self):
-        """Return the part of the requests that were in time in this step."""
+        """Return the fraction of the requests that were in time in this step."""
         self.clock[0] += STEP_SECONDS
         for worker, (name, ready_at) in [*self.loading.items()]:
             if self.clock[0] >= ready_at:
@@ -105,7 +105,7 @@
 
 
 SHAPES = [
-    # Engines as fast as usual, twice as slow and three times as fast.
+    # Engines of usual speed, half of it and three times it.
     Shape(workers=60, per_second=6.0, load_seconds=4.0, hot_per_second=60.0),
     Shape(workers=60, per_second=3.0, load_seconds=4.0, hot_per_second=30.0),
     Shape(workers=40, per_second=18.0, load_seconds=6.0, hot_per_second=140.0),
@@ -114,8 +114,8 @@
 
 @pytest.mark.parametrize("shape", SHAPES)
 def test_shifted_load_is_served_within_three_load_times(shape, clock):
-    # A lot opens and hundreds ask for a model that one worker holds. It needs ten
-    # copies: brought one after the other, callers were refused for half a minute.
+    # Hundreds of requests arrive for a model with one holder, which needs ten copies. Loaded one
+    # after the other, these would leave callers refused for half a minute.
     simulation = Simulation(shape, clock)
     for _ in range(20):
         simulation.step()
@@ -126,8 +126,8 @@
 
 
 def test_no_copies_are_added_once_requests_are_in_time(clock):
-    # Copies side by side must not go on when those on their way are enough: each takes
-    # a place that another model is asked for next.
+    # Copies loaded in parallel must end once those that are arriving are enough: each takes the
+    # room of another model that may be requested next.
     shape = SHAPES[0]
     simulation = Simulation(shape, clock)
     for _ in range(20):
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
@@ -1,4 +1,4 @@
-"""Orders to one worker: one at a time, and never more than its memory holds."""
+"""Orders to one worker: one at a time, and never more than fits into its memory."""
 
 import pytest
 from redwingscale_daemon._internal.fleet.unit import Unit
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def fence():
-    """The fencing number to use, None without the right to give orders."""
+    """The fence to use, None without the leader lease."""
     return [7]
 
 
@@ -51,7 +51,7 @@
 
 
 def test_eviction_is_announced_before_the_unload(worker, engine, fence):
-    # Requests that are on their way to it must find it still there.
+    # Requests in flight to the model must find it still resident.
     seen = []
     orders = WorkerOrders(
         upstream("u0", "a"), lambda: engine, worker, OrderAuthority("i1", lambda: fence[0]),
@@ -62,18 +62,18 @@
 
 
 def test_load_that_does_not_fit_is_never_ordered(orders, worker):
-    # What the planner knew was old: the worker holds one model more. Loaded all
-    # the same, it would run out of memory under its running models.
+    # The planner's view was outdated: one more model is resident. If the load were ordered all the
+    # same, the worker would run out of memory under its running models.
     worker.resident["b"] = frozenset()
     carry_out(orders, SwapTask((), "c", 0.0))
     assert worker.orders == []
-    # The next plan must know what the report has told, or it is the same one again.
+    # The next plan must use the reported state, or it would be the same one again.
     assert orders.resident() == {"a": frozenset(), "b": frozenset()}
 
 
 def test_order_without_an_answer_is_followed_by_a_report(orders, worker):
-    # The answer to a load is lost: it may have been accepted. A second load on
-    # top of it could overfill the worker, so what it holds is asked for first.
+    # The answer to a load is lost, so the load may have been accepted. A second load could
+    # overfill the worker, so a report is read first.
     worker.results = [OrderResult.UNKNOWN]
     carry_out(orders, SwapTask((), "c", 0.0))
     assert orders.resident() is None
@@ -128,8 +128,8 @@
 
 
 def test_adapter_that_does_not_fit_beside_the_models_is_never_ordered(worker, engine, fence):
-    # Two models fill the worker's memory to the last megabyte. The adapter that a request
-    # waits for has a free place by its number: ordered, it crashes the worker.
+    # Two models fill the worker's memory to the last megabyte. By the number of slots there is
+    # room for the adapter that a request waits for, but loading it would crash the worker.
     worker.resident["b"] = frozenset()
     tight = engine._replace(weights_mb=140.0)
     orders = WorkerOrders(
@@ -140,10 +140,11 @@
 
 
 def test_slot_is_reserved_for_an_adapter_whose_order_may_still_be_accepted(orders, worker):
-    # Guards against an adapter beyond the places, at which the worker crashes.
+    # Guards against an adapter beyond the slots, which crashes the worker.
     worker.resident["a"] = frozenset({"x", "z"})
-    # The adapter to drop has just gone: the worker counts no order, the ledger does, and the
-    # load after it, which gets no answer, may be accepted after the next order.
+    # The adapter to evict was unloaded just before: the worker does not count the order, the
+    # ledger does, and the load after it, which gets no answer, may be accepted after the next
+    # order.
     worker.results = [OrderResult.IN_EFFECT, OrderResult.UNKNOWN]
     carry_out(orders, AdapterTask(Unit("a", "y"), (Unit("a", "z"),)))
     worker.resident["a"] = frozenset({"x"})
@@ -158,7 +159,7 @@
 
 
 def test_unload_of_an_adapter_that_may_be_unloaded_already_is_not_counted(orders, worker):
-    # Guards against orders that name a number which the worker has not come to yet.
+    # Guards against orders with a number that the worker has not reached yet.
     worker.resident["a"] = frozenset({"x", "z"})
     worker.results = [OrderResult.UNKNOWN, OrderResult.IN_EFFECT]
     for _ in range(2):
