--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
@@ -52,7 +52,7 @@
         self._service = service
         self._engine = engine
         self._demand = demand
-        self.holders = _holder_counts(views)
+        self.holder_counts = _holder_counts(views)
         self._by_upstream: dict[str, list[Eviction]] = {}
 
     def cheapest(
@@ -81,7 +81,7 @@
                 evicted,
                 self._room_mb(view, evicted),
                 sum(losses[name] for name in evicted),
-                all(self.holders[name] > 1 for name in evicted),
+                all(self.holder_counts[name] > 1 for name in evicted),
             )
             for count in range(min(len(names), MAX_EVICTED_MODELS) + 1)
             for evicted in combinations(names, count)
@@ -95,7 +95,7 @@
         """Return how many requests are lost or late if the copy of ``name`` is evicted."""
         running = view.open_for(name) * RUNNING_REQUEST_COST
         rate = self._demand.model_rate(self._service, name)
-        others = self.holders.get(name, 1) - 1
+        others = self.holder_counts.get(name, 1) - 1
         if others <= 0:
             return running + self._demand.baseline_requests(self._service, name) + rate * DEMAND_HORIZON_SECONDS
         if others < self._demand.copies_to_keep(self._service, name):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
@@ -154,17 +154,17 @@
         proposals = [
             proposal(name, rule)
             for name, rule in self._engine.models_by_name.items()
-            if name not in evictions.holders
+            if name not in evictions.holder_counts
         ]
         return nlargest(MAX_COVERAGE_PROPOSALS, proposals, key=lambda one: one.gain(0.0))
 
     def _extra_copy_proposals(self, evictions: Evictions, views: Sequence[WorkerView]) -> list[_Proposal]:
         def proposal(name: str) -> _Proposal:
-            value = self._extra_copy_gain(name, evictions.holders[name], arriving.get(name, 0.0), views)
+            value = self._extra_copy_gain(name, evictions.holder_counts[name], arriving.get(name, 0.0), views)
             return _Proposal(self._engine.models_by_name[name], lambda _: value, lightly_loaded_only=True)
 
         arriving = _arriving_copies(views)
-        proposals = [proposal(name) for name in evictions.holders if name in self._engine.models_by_name]
+        proposals = [proposal(name) for name in evictions.holder_counts if name in self._engine.models_by_name]
         return [one for one in proposals if one.gain(0.0) > 0]
 
     def _extra_copy_gain(
