--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
@@ -37,8 +37,7 @@
     def choose_copies(
         self, overloaded: Iterable[Unit], views: Sequence[WorkerView], slots: int
     ) -> list[AdapterCopy]:
-        """Return the copies to load for ``overloaded`` adapters, given the most overloaded first.
-        """
+        """Return the copies to load for ``overloaded`` adapters, the most overloaded first."""
         now = time.monotonic()
         self._copied_at = {
             unit: at for unit, at in self._copied_at.items() if now - at < COPY_INTERVAL_SECONDS
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -41,7 +41,7 @@
 
 # Each plan is followed by a pause of four times its duration. Waiting requests trigger plans at
 # any rate: on a machine with half a core, plans for 45 workers would take all CPU time from the
-# requests that it forwards.
+# requests that the machine forwards.
 PLAN_PAUSE_FACTOR = 4.0
 MIN_PLAN_PAUSE_SECONDS = 0.02
 # Updates go to every instance, so plans are less frequent among many: a message each 20 ms to each
@@ -126,8 +126,7 @@
         self._instances.forget(upstream_ids)
 
     def step(self) -> LeaderUpdate | None:
-        """Plan once and return the update sent, None without changes or without the leader lease.
-        """
+        """Plan once and return the update sent, None without changes or the leader lease."""
         self._wake.wait(UPDATE_SECONDS)
         self._wake.clear()
         fence = self._authority.fence()
@@ -217,8 +216,7 @@
                 self._swap_models(name, service.engine)
 
     def _swap_models(self, service: str, engine: EngineRule) -> None:
-        """Start the swaps that pay off, the best one first; each affects the choice of the next.
-        """
+        """Start the swaps that pay off, the best one first; each affects the next choice."""
         planner = Planner(service, engine, self._demand)
         for _ in range(MAX_SWAPS_PER_STEP):
             views = self._views(service)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
@@ -16,9 +16,9 @@
 from redwingscale_daemon._internal.swaps.room import load_time
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-# Value of loading a model that no worker has resident but some worker has in memory or on disk,
-# relative to one from the weight store: it can be loaded within about a second when it is
-# requested.
+# A model that some worker has cached in memory or on disk can be loaded within about a second when
+# it is requested: loading it in advance has this fraction of the value of loading one that only
+# the weight store has.
 LOCAL_COPY_FRACTION = 0.4
 # Fraction of the requests moved to an extra copy that it serves in time.
 EXTRA_COPY_IN_TIME_FRACTION = 0.5
@@ -215,8 +215,7 @@
     *,
     cold_allowed: bool,
 ) -> Swap | None:
-    """Return the swap with the highest gain beyond its loss and its load, None if none pays off.
-    """
+    """Return the swap that gains most beyond its loss and its load, None if none pays off."""
     priced = [
         (proposal.gain(seconds) - eviction.loss - seconds * LOAD_COST_PER_SECOND, proposal, view, eviction)
         for proposal in proposals
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -29,7 +29,8 @@
 ADAPTER_LOAD_SECONDS = 0.02
 # An unload waits for the requests that run on the unit; streams last a few seconds.
 UNLOAD_TIMEOUT_SECONDS = 12.0
-# An upstream with a rate limit or a retry time may accept a call only after this time.
+# The rate limit or the retry time of an upstream may allow no call for longer than this; the order
+# counts as refused then.
 MAY_CALL_TIMEOUT_SECONDS = 4.0
 # Loads take up to three times as long while many run at once.
 LOAD_TIMEOUT_FACTOR = 4.0
@@ -56,8 +57,8 @@
 class WorkerOrders:
     """Runs the tasks of one worker, one at a time, each in a thread of its own.
 
-    A thread that waits for the next task would be one for each worker: 78 of them at a leader that
-    has three or four tasks at a time.
+    No thread waits for the next task: a leader would have one for each of its 78 workers, but has
+    three or four tasks at a time.
 
     The worker's state is taken from its report, then updated by its answers. An order without an
     answer makes it unknown, and nothing more is loaded until the next report: two loads that both
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_pool.py
@@ -51,8 +51,7 @@
             self._by_id[key].upstream = upstream
 
     def stop(self) -> None:
-        """Drop all workers, each after its running task; another instance may order from now on.
-        """
+        """Drop all workers, each after its running task; another instance may lead from now on."""
         self._by_id = {}
 
     def start_task(self, upstream_id: str, task: Task) -> None:
