--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_orders.py
@@ -26,7 +26,9 @@
         self._workers = workers
         self._spread = AdapterSpread()
 
-    def load_waiting(self, waiting: WaitingUnit, engine: EngineRule, views: list[WorkerView]) -> None:
+    def load_waiting(
+        self, waiting: WaitingUnit, engine: EngineRule, views: list[WorkerView]
+    ) -> None:
         """Load an adapter that requests wait for, if a worker has room for it."""
         view = choose_worker(waiting.unit, views, engine.adapter_slots)
         if view is not None:
@@ -43,7 +45,10 @@
             self._demand.clear_overload(service, copy.unit)
             evicted = self._least_requested(service, engine, copy.view)
             requested = self._demand.rate(service, copy.unit)
-            if all(self._demand.rate(service, one) < requested * MAX_EVICTED_RATE_FRACTION for one in evicted):
+            if all(
+                self._demand.rate(service, one) < requested * MAX_EVICTED_RATE_FRACTION
+                for one in evicted
+            ):
                 self._start_load(service, copy.unit, engine, copy.view, 0)
 
     def _start_load(
@@ -59,7 +64,9 @@
         )
         self._workers.start_task(view.upstream.id, AdapterTask(unit, evicted))
 
-    def _least_requested(self, service: str, engine: EngineRule, view: WorkerView) -> tuple[Unit, ...]:
+    def _least_requested(
+        self, service: str, engine: EngineRule, view: WorkerView
+    ) -> tuple[Unit, ...]:
         """Return the least requested idle adapters to evict for one more adapter."""
         excess = max(0, len(view.adapters()) + 1 - engine.adapter_slots)
         idle = view.idle_adapters()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/adapter_spread.py
@@ -47,7 +47,9 @@
         for unit in overloaded:
             if len(chosen) == MAX_COPIES_PER_PLAN:
                 break
-            view = None if unit in self._copied_at else _choose_less_loaded(unit, free, views, slots)
+            view = (
+                None if unit in self._copied_at else _choose_less_loaded(unit, free, views, slots)
+            )
             if view is not None:
                 self._copied_at[unit] = now
                 free.remove(view)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -89,7 +89,10 @@
             if update.demand_snapshot is not None and update.instance not in self._snapshot_senders:
                 self._snapshot_senders.add(update.instance)
                 self._add_snapshot(update.demand_snapshot, now)
-            self._waiting[update.instance] = (now, [entry for entry in update.demand if entry.waiting])
+            self._waiting[update.instance] = (
+                now,
+                [entry for entry in update.demand if entry.waiting],
+            )
             if update.demand and self._first_arrival_at is None:
                 self._first_arrival_at = now
             for entry in update.demand:
@@ -228,7 +231,9 @@
         A fraction of the initial copies until demand has been observed, one copy afterwards.
         """
         copies = self._initial_copies.get((service, model), 0)
-        return 1 if self._observation_complete() else math.ceil(copies * KEPT_INITIAL_COPIES_FRACTION)
+        return (
+            1 if self._observation_complete() else math.ceil(copies * KEPT_INITIAL_COPIES_FRACTION)
+        )
 
     def _observation_complete(self) -> bool:
         first = self._first_arrival_at
@@ -245,9 +250,15 @@
         self._first_arrival_at = first if current is None else min(current, first)
         for received in snapshot.models:
             key = (received.service, received.model)
-            self._model_rates[key] = self._model_rates.get(key, _ZERO_STEADY).raised(received.steady, now)
-            self._recent_rates[key] = self._recent_rates.get(key, _ZERO_RECENT).raised(received.recent, now)
-            self._overload_rates[key] = self._overload_rates.get(key, _ZERO_RECENT).raised(received.overloads, now)
+            self._model_rates[key] = self._model_rates.get(key, _ZERO_STEADY).raised(
+                received.steady, now
+            )
+            self._recent_rates[key] = self._recent_rates.get(key, _ZERO_RECENT).raised(
+                received.recent, now
+            )
+            self._overload_rates[key] = self._overload_rates.get(key, _ZERO_RECENT).raised(
+                received.overloads, now
+            )
             if received.peak:
                 self._peaks[key] = self._peaks.get(key, 0.0) + received.peak
         for entry in snapshot.units:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
@@ -97,7 +97,11 @@
         rate = self._demand.model_rate(self._service, name)
         others = self.holder_counts.get(name, 1) - 1
         if others <= 0:
-            return running + self._demand.baseline_requests(self._service, name) + rate * DEMAND_HORIZON_SECONDS
+            return (
+                running
+                + self._demand.baseline_requests(self._service, name)
+                + rate * DEMAND_HORIZON_SECONDS
+            )
         if others < self._demand.copies_to_keep(self._service, name):
             return running + INITIAL_COPY_REQUESTS
         # Each holder's fraction of the requests grows from 1/n to 1/(n - 1).
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -151,7 +151,10 @@
     def _sending_seconds(self, message_bytes: int) -> float:
         """Return how long a message to all instances takes within `UPDATE_LINK_FRACTION`."""
         bits = message_bytes * 8 * len(self._instances)
-        return min(MAX_PLAN_PAUSE_SECONDS, bits / (self._link_mbps * BITS_PER_MEGABIT * UPDATE_LINK_FRACTION))
+        return min(
+            MAX_PLAN_PAUSE_SECONDS,
+            bits / (self._link_mbps * BITS_PER_MEGABIT * UPDATE_LINK_FRACTION),
+        )
 
     def _begin_term(self, fence: int) -> None:
         log_event("giver_begins", fence=fence)
@@ -163,7 +166,9 @@
             return
         for service in table.services_by_name.values():
             if service.engine is not None:
-                self._rate.assume_full_window(self._ceiling(service.engine), self._authority.handover_pause_seconds)
+                self._rate.assume_full_window(
+                    self._ceiling(service.engine), self._authority.handover_pause_seconds
+                )
 
     def _ceiling(self, engine: EngineRule) -> LoadCeiling:
         return self._load_window._replace(per_second=engine.cold_loads_per_second)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/planner.py
@@ -12,7 +12,11 @@
     Demand,
     WaitingUnit,
 )
-from redwingscale_daemon._internal.swaps.evictions import DEMAND_HORIZON_SECONDS, Eviction, Evictions
+from redwingscale_daemon._internal.swaps.evictions import (
+    DEMAND_HORIZON_SECONDS,
+    Eviction,
+    Evictions,
+)
 from redwingscale_daemon._internal.swaps.room import load_time
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
@@ -143,7 +147,9 @@
 
         return _Proposal(rule, gain)
 
-    def _coverage_proposals(self, evictions: Evictions, views: Sequence[WorkerView]) -> list[_Proposal]:
+    def _coverage_proposals(
+        self, evictions: Evictions, views: Sequence[WorkerView]
+    ) -> list[_Proposal]:
         local = frozenset().union(*(v.upstream.in_memory | v.upstream.on_disk for v in views))
 
         def proposal(name: str, rule: ModelRule) -> _Proposal:
@@ -158,13 +164,23 @@
         ]
         return nlargest(MAX_COVERAGE_PROPOSALS, proposals, key=lambda one: one.gain(0.0))
 
-    def _extra_copy_proposals(self, evictions: Evictions, views: Sequence[WorkerView]) -> list[_Proposal]:
+    def _extra_copy_proposals(
+        self, evictions: Evictions, views: Sequence[WorkerView]
+    ) -> list[_Proposal]:
         def proposal(name: str) -> _Proposal:
-            value = self._extra_copy_gain(name, evictions.holder_counts[name], arriving.get(name, 0.0), views)
-            return _Proposal(self._engine.models_by_name[name], lambda _: value, lightly_loaded_only=True)
+            value = self._extra_copy_gain(
+                name, evictions.holder_counts[name], arriving.get(name, 0.0), views
+            )
+            return _Proposal(
+                self._engine.models_by_name[name], lambda _: value, lightly_loaded_only=True
+            )
 
         arriving = _arriving_copies(views)
-        proposals = [proposal(name) for name in evictions.holder_counts if name in self._engine.models_by_name]
+        proposals = [
+            proposal(name)
+            for name in evictions.holder_counts
+            if name in self._engine.models_by_name
+        ]
         return [one for one in proposals if one.gain(0.0) > 0]
 
     def _extra_copy_gain(
@@ -182,7 +198,9 @@
         overload_gain = unabsorbed * DEMAND_HORIZON_SECONDS * EXTRA_COPY_IN_TIME_FRACTION
         if arriving >= 1:
             return overload_gain
-        overloaded = all(v.prompt_tokens > OVERLOADED_PROMPT_TOKENS for v in views if name in v.resident)
+        overloaded = all(
+            v.prompt_tokens > OVERLOADED_PROMPT_TOKENS for v in views if name in v.resident
+        )
         shared_gain = expected / (holders + 1) * EXTRA_COPY_IN_TIME_FRACTION if overloaded else 0.0
         single_holder_gain = expected * SINGLE_HOLDER_RISK_FRACTION if holders == 1 else 0.0
         return max(overload_gain, shared_gain, single_holder_gain)
@@ -217,7 +235,12 @@
 ) -> Swap | None:
     """Return the swap that gains most beyond its loss and its load, None if none pays off."""
     priced = [
-        (proposal.gain(seconds) - eviction.loss - seconds * LOAD_COST_PER_SECOND, proposal, view, eviction)
+        (
+            proposal.gain(seconds) - eviction.loss - seconds * LOAD_COST_PER_SECOND,
+            proposal,
+            view,
+            eviction,
+        )
         for proposal in proposals
         for view in views
         if (eviction := _choose_eviction(proposal, view, evictions)) is not None
@@ -231,7 +254,9 @@
     return Swap(view, proposal.model, eviction.models, *load_time(proposal.model, view), net_gain)
 
 
-def _choose_eviction(proposal: _Proposal, view: WorkerView, evictions: Evictions) -> Eviction | None:
+def _choose_eviction(
+    proposal: _Proposal, view: WorkerView, evictions: Evictions
+) -> Eviction | None:
     if not view.free or proposal.model.name in view.resident:
         return None
     if proposal.lightly_loaded_only and view.prompt_tokens >= LIGHT_LOAD_PROMPT_TOKENS:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limited_views.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limited_views.py
@@ -46,7 +46,10 @@
 
 
 def _served_within_limit(
-    resident: AdaptersByModel, elsewhere: Collection[str], rate_of: Callable[[str], float], per_second: float
+    resident: AdaptersByModel,
+    elsewhere: Collection[str],
+    rate_of: Callable[[str], float],
+    per_second: float,
 ) -> AdaptersByModel:
     left = per_second * USABLE_LIMIT_FRACTION
     served = {}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/service_views.py
@@ -5,9 +5,9 @@
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
-from redwingscale_daemon._internal.swaps.rate_limited_views import limit_resident_models
 from redwingscale_daemon._internal.swaps.demand import Demand, WaitingUnit
 from redwingscale_daemon._internal.swaps.instance_totals import Totals
+from redwingscale_daemon._internal.swaps.rate_limited_views import limit_resident_models
 from redwingscale_daemon._internal.swaps.worker_pool import WorkerPool
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/unanswered.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/unanswered.py
@@ -38,8 +38,12 @@
     return len({load.orders_accepted for load in following if load.is_adapter})
 
 
-def _still_acceptable(loads: Iterable[UnansweredLoad], orders_accepted: int) -> list[UnansweredLoad]:
+def _still_acceptable(
+    loads: Iterable[UnansweredLoad], orders_accepted: int
+) -> list[UnansweredLoad]:
     sent_after = time.monotonic() - MAX_DELIVERY_SECONDS
     return [
-        load for load in loads if load.sent_at > sent_after and load.orders_accepted > orders_accepted
+        load
+        for load in loads
+        if load.sent_at > sent_after and load.orders_accepted > orders_accepted
     ]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -72,7 +72,9 @@
         )
         return False
 
-    def resident(self, evicting: frozenset[str], evicting_adapters: frozenset[Unit]) -> AdaptersByModel | None:
+    def resident(
+        self, evicting: frozenset[str], evicting_adapters: frozenset[Unit]
+    ) -> AdaptersByModel | None:
         """Return the models and adapters that requests may be sent for, None while unknown."""
         if self.superseded:
             return {}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -268,7 +268,9 @@
             time.sleep(POLL_SECONDS)
         return True
 
-    def _poll_until(self, condition: Callable[[EngineReport], bool], timeout_seconds: float) -> bool:
+    def _poll_until(
+        self, condition: Callable[[EngineReport], bool], timeout_seconds: float
+    ) -> bool:
         """Poll for a report that is not busy and up to date; return whether ``condition`` applies.
 
         A report is up to date if it counts all orders that the worker has accepted. It becomes the
--- a/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/conftest.py
@@ -113,7 +113,9 @@
     def report(self, upstream):
         if not self.reachable:
             return None
-        return EngineReport(dict(self.resident), frozenset(), False, self.accepted, self.started_at_ms)
+        return EngineReport(
+            dict(self.resident), frozenset(), False, self.accepted, self.started_at_ms
+        )
 
     def order(self, upstream, order):
         self.orders.append(order)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_planner.py
@@ -67,7 +67,9 @@
 
 
 def test_worker_with_an_order_in_flight_gets_no_swap(planner):
-    assert planner.swap_for(waiting("c", 9), [view("u0", "a", free=False)], cold_allowed=True) is None
+    assert (
+        planner.swap_for(waiting("c", 9), [view("u0", "a", free=False)], cold_allowed=True) is None
+    )
 
 
 def test_ceiling_of_the_weight_store_is_respected(planner):
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_rate_limited_views.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_rate_limited_views.py
@@ -4,10 +4,10 @@
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.routes.service_rule import EngineRule
-from redwingscale_daemon._internal.swaps.rate_limited_views import limit_resident_models
 from redwingscale_daemon._internal.swaps.demand import Demand
 from redwingscale_daemon._internal.swaps.instance_totals import NO_TOTALS
 from redwingscale_daemon._internal.swaps.messages import DemandEntry, InstanceUpdate
+from redwingscale_daemon._internal.swaps.rate_limited_views import limit_resident_models
 from redwingscale_daemon._internal.swaps.service_views import ServiceViews
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
@@ -24,7 +24,10 @@
 @pytest.fixture
 def views():
     none = frozenset()
-    return [view("unlimited", shared=none), view("w", busy=none, light=none, rare=none, shared=none)]
+    return [
+        view("unlimited", shared=none),
+        view("w", busy=none, light=none, rare=none, shared=none),
+    ]
 
 
 def planned(views, rates_by_id, waiting=()):
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_worker_orders.py
@@ -133,7 +133,11 @@
     worker.resident["b"] = frozenset()
     tight = engine._replace(weights_mb=140.0)
     orders = WorkerOrders(
-        upstream("u0", "a"), lambda: tight, worker, OrderAuthority("i1", lambda: fence[0]), lambda: None
+        upstream("u0", "a"),
+        lambda: tight,
+        worker,
+        OrderAuthority("i1", lambda: fence[0]),
+        lambda: None,
     )
     carry_out(orders, AdapterTask(Unit("a", "a1"), ()))
     assert worker.orders == []
