--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -195,7 +195,9 @@
 
     client = OrderClient(
         engine_calls(),
-        on_backpressure=lambda upstream, backpressure: fleet.backpressure.take(upstream, backpressure, "own report"),
+        on_backpressure=lambda upstream, backpressure: fleet.backpressure.take(
+            upstream, backpressure, "own report"
+        ),
         connect_timeout_seconds=CONNECT_SECONDS,
         response_timeout_seconds=CONNECT_SECONDS,
     )
