--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/call.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/call.py
@@ -9,7 +9,7 @@
 from redwingscale_daemon._internal.ingress.reply import Reply
 from redwingscale_daemon._internal.routes.route import Route
 from redwingscale_daemon._internal.routes.urgency import Urgency
-from redwingscale_daemon._internal.workspaces.callers_gate import Permit
+from redwingscale_daemon._internal.workspaces.request_permit import Permit
 
 
 class Call(NamedTuple):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -25,7 +25,7 @@
 from redwingscale_daemon._internal.routes.route_table import RouteTable, draw_service
 from redwingscale_daemon._internal.routes.urgency import Urgency
 from redwingscale_daemon._internal.telemetry.ingress_metrics import IngressMetrics
-from redwingscale_daemon._internal.workspaces.callers_gate import Permit, workspace_of
+from redwingscale_daemon._internal.workspaces.request_permit import Permit, workspace_of
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
 from redwingscale_daemon._internal.workspaces.workspace import Workspace
 
