--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -115,12 +115,12 @@
             self._relay(call)
         except Refusal as refusal:
             if call is not None and refusal.run is RunState.NOT_RUN:
-                call.permit.give_back()
-            self._log_end(request, terms, call, refusal)
+                call.permit.refund()
+            self._ended(request, terms, call, refusal)
             self._refuse(refusal, reply)
         except CallerLeft:
-            if call is not None and not call.attempts.count:
-                call.permit.give_back()
+            if call is not None and not call.attempts.sendings:
+                call.permit.refund()
             self._metrics.ended(request, "caller_left")
             log_event("caller_left", request=terms.request_id, route=_route_name(call))
             raise
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/request_permit.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/request_permit.py
@@ -67,10 +67,10 @@
             case Short() as short:
                 raise _limit_reached(request, self.workspace, short)
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Give back what was drawn: the request has not run, and never will."""
         if self.workspace is not None:
-            self._limiter.give_back(self.workspace, self._drawn)
+            self._limiter.refund(self.workspace, self._drawn)
             self._drawn = 0.0
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
@@ -72,7 +72,7 @@
         self._used += cost
         self.since_heard += cost
 
-    def give_back(self, cost: float) -> None:
+    def refund(self, cost: float) -> None:
         """Undo what a request has drawn that has not run."""
         self.let_in(-cost)
         self.level = (self.level or 0.0) + cost
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
@@ -90,12 +90,12 @@
             come_back = account.book(cost, allowance.per_second, now)
         return Short(cost, left, allowance.per_second, now - self._heard_at, come_back)
 
-    def give_back(self, workspace: Workspace, cost: float) -> None:
+    def refund(self, workspace: Workspace, cost: float) -> None:
         """Take back what was drawn for a request that has not run."""
         if not cost:
             return
         with self._lock:
-            self._account(workspace.name, self._clock()).give_back(cost)
+            self._account(workspace.name, self._clock()).refund(cost)
 
     def updates(self, *, full: bool = False) -> list[DrawnEntry]:
         """Return the use that differs from what was told last, or ``full``."""
--- a/packages/redwingscale-daemon/tests/unit/workspaces/test_use_limiter.py
+++ b/packages/redwingscale-daemon/tests/unit/workspaces/test_use_limiter.py
@@ -100,7 +100,7 @@
     instance.limiter.receive([CALM])
     drawn = instance.limiter.draw(WORKSPACE, 5000).units
     assert instance.lets_in(10) > 0
-    instance.limiter.give_back(WORKSPACE, drawn)
+    instance.limiter.refund(WORKSPACE, drawn)
     assert instance.lets_in(10) == 0
 
 
