--- a/benchmarks/keys_and_limits.py
+++ b/benchmarks/keys_and_limits.py
@@ -62,7 +62,7 @@
         }
     )
     limiter = UseLimiter(lambda: 67, 17_000.0)
-    limiter.receive([GrantEntry("w3", 1e12, 1.0, pressed=True)])
+    limiter.receive([GrantEntry("w3", 1e12, 1.0, near_limit=True)])
     headers = (
         ("X-Redwingscale-Request-Id", "9c41d07be2a35f68"),
         ("X-Redwingscale-Token-Usage", "1460,80"),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
@@ -144,7 +144,7 @@
         if now - self._heard_at > FRESH_SECONDS:
             return self._untold(account, limit)
         grant = account.grant
-        if grant is not None and grant.pressed:
+        if grant is not None and grant.near_limit:
             part = account.part or self._new_part(account, grant, now)
             return Allowance(grant.per_second * part, limit.burst * part, shared=True, first=0.0)
         unheard = limit.burst * max(UNHEARD_PART, account.part or 0.0)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_messages.py
@@ -18,11 +18,11 @@
 class GrantEntry(msgspec.Struct, array_like=True):
     """What all instances together may let in of a workspace.
 
-    ``offered`` is the sum of what they have told; where ``pressed`` each lets in its
+    ``offered`` is the sum of what they have told; where ``near_limit`` each lets in its
     part of ``per_second`` by its part of that, else use is far from the limit.
     """
 
     workspace: str
     per_second: float
     offered: float
-    pressed: bool
+    near_limit: bool
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_totals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_totals.py
@@ -21,12 +21,12 @@
 CORRECTION_SECONDS = 1.0
 # Use is near the limit where less of the burst is left; it is for as long as more than
 # the limit is asked for, and a while after that.
-PRESSED_LEVEL_PART = 0.5
+NEAR_LIMIT_BURST_FRACTION = 0.5
 # A few requests of a small limit are not near it: as much of what may go beyond.
-PRESSED_SLACK_PART = 0.5
-PRESSED_SECONDS = 2.0
+NEAR_LIMIT_SLACK_FRACTION = 0.5
+NEAR_LIMIT_SECONDS = 2.0
 # Grants of workspaces that are far from their limits are told this often.
-CALM_GRANT_SECONDS = 1.0
+LIGHT_LOAD_GRANT_SECONDS = 1.0
 
 
 class _Told(NamedTuple):
@@ -44,7 +44,7 @@
     def __init__(self, now: float) -> None:
         self.units = 0.0
         self.at = now
-        self.pressed_until = float("-inf")
+        self.near_limit_until = float("-inf")
         self.told_at = float("-inf")
 
 
@@ -122,17 +122,17 @@
         per_second = limit.per_second * (1.0 - reserved)
         level.units = min(limit.burst, level.units + per_second * (now - level.at))
         level.at = now
-        pressed = now < level.pressed_until
-        least = limit.burst * PRESSED_LEVEL_PART - self._slack * PRESSED_SLACK_PART
-        if level.units < least or (pressed and heard > per_second):
-            level.pressed_until = now + PRESSED_SECONDS
-            pressed = True
-        if not pressed and now - level.told_at < CALM_GRANT_SECONDS:
+        near_limit = now < level.near_limit_until
+        least = limit.burst * NEAR_LIMIT_BURST_FRACTION - self._slack * NEAR_LIMIT_SLACK_FRACTION
+        if level.units < least or (near_limit and heard > per_second):
+            level.near_limit_until = now + NEAR_LIMIT_SECONDS
+            near_limit = True
+        if not near_limit and now - level.told_at < LIGHT_LOAD_GRANT_SECONDS:
             return None
-        level.told_at = now if not pressed else float("-inf")
+        level.told_at = now if not near_limit else float("-inf")
         self._offered_told[name] = heard
         granted = max(0.0, per_second + level.units / CORRECTION_SECONDS)
-        return GrantEntry(name, round(granted, 1), round(heard, 1), pressed)
+        return GrantEntry(name, round(granted, 1), round(heard, 1), near_limit)
 
     def _unheard_part(self, now: float) -> float:
         if not self._instances or now - self._begun_at > RESERVED_SECONDS:
--- a/packages/redwingscale-daemon/tests/unit/workspaces/test_use_totals.py
+++ b/packages/redwingscale-daemon/tests/unit/workspaces/test_use_totals.py
@@ -44,13 +44,13 @@
 
 
 def test_use_below_the_limit_is_not_pressed(totals, clock):
-    assert not play(totals, clock, 500.0, 20)[-1].pressed
+    assert not play(totals, clock, 500.0, 20)[-1].near_limit
 
 
 def test_use_beyond_the_limit_is_pressed_and_made_up_for(totals, clock):
     play(totals, clock, 500.0, 10)
     granted = play(totals, clock, 6000.0, 2)
-    assert granted[-1].pressed
+    assert granted[-1].near_limit
     assert granted[-1].per_second == 0
 
 
