--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/request_permit.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/request_permit.py
@@ -6,7 +6,7 @@
 from redwingscale_daemon._internal.routes.current_routes import CurrentRoutes
 from redwingscale_daemon._internal.routes.route import Route
 from redwingscale_daemon._internal.routes.route_table import RouteTable
-from redwingscale_daemon._internal.workspaces.use_limiter import Drawn, Short, UseLimiter
+from redwingscale_daemon._internal.workspaces.use_limiter import Drawn, LimitReached, UseLimiter
 from redwingscale_daemon._internal.workspaces.workspace import Workspace
 
 
@@ -64,8 +64,8 @@
         match self._limiter.draw(self.workspace, tokens):
             case Drawn(units):
                 self._drawn = units
-            case Short() as short:
-                raise _limit_reached(request, self.workspace, short)
+            case LimitReached() as reached:
+                raise _limit_reached(request, self.workspace, reached)
 
     def refund(self) -> None:
         """Give back what was drawn: the request has not run, and never will."""
@@ -74,20 +74,20 @@
             self._drawn = 0.0
 
 
-def _limit_reached(request: str, workspace: Workspace, short: Short) -> Refusal:
+def _limit_reached(request: str, workspace: Workspace, reached: LimitReached) -> Refusal:
     log_event(
         "limit_reached",
         request=request,
         workspace=workspace.name,
-        units=round(short.units),
-        left=round(short.left),
-        per_second=round(short.per_second),
-        heard=round(short.heard_seconds, 3),
-        come_back=round(short.come_back_seconds, 3),
+        units=round(reached.units),
+        left=round(reached.left),
+        per_second=round(reached.per_second),
+        heard=round(reached.update_age_seconds, 3),
+        come_back=round(reached.retry_after_seconds, 3),
     )
     return Refusal(
         429,
         "limit_reached",
         f"{workspace.name} has used its limit",
-        retry_after_seconds=short.come_back_seconds,
+        retry_after_seconds=reached.retry_after_seconds,
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
@@ -8,8 +8,8 @@
 OFFERED_HALF_SECONDS = 0.7
 # Parts that are smaller than a request are saved up for so many of them.
 PART_REQUESTS = 2
-LEAST_COME_BACK_SECONDS = 0.2
-MOST_COME_BACK_SECONDS = 10.0
+MIN_RETRY_AFTER_SECONDS = 0.2
+MAX_RETRY_AFTER_SECONDS = 10.0
 # Units a second that are not worth telling.
 STILL = 1.0
 
@@ -46,7 +46,7 @@
         self._shared = False
         self._heard_at = float("-inf")
         # When what refused requests were told to come back for has refilled.
-        self._booked_until = now
+        self._retries_until = now
 
     def note_news(self, heard_at: float) -> None:
         """Begin to count ``since_heard`` anew if there were news since the last request."""
@@ -92,17 +92,17 @@
         self._told_used, self._told_offered = used, offered
         return DrawnEntry(name, offered, round(used, 1))
 
-    def book(self, cost: float, per_second: float, now: float) -> float:
+    def schedule_retry(self, cost: float, per_second: float, now: float) -> float:
         """Return in how many seconds a refused request finds room, and keep that room for it.
 
         Told the time at which there is room for one, all that were refused would come
         back at the same moment, and be refused again.
         """
         if per_second <= 0:
-            return MOST_COME_BACK_SECONDS
-        begin = max(self._booked_until, now - (self.level or 0.0) / per_second)
-        self._booked_until = min(begin + cost / per_second, now + MOST_COME_BACK_SECONDS)
-        return min(MOST_COME_BACK_SECONDS, max(LEAST_COME_BACK_SECONDS, begin - now))
+            return MAX_RETRY_AFTER_SECONDS
+        begin = max(self._retries_until, now - (self.level or 0.0) / per_second)
+        self._retries_until = min(begin + cost / per_second, now + MAX_RETRY_AFTER_SECONDS)
+        return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, begin - now))
 
 
 def part_of(own: float, all_of_it: float) -> float:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
@@ -32,17 +32,17 @@
     units: float
 
 
-class Short(NamedTuple):
+class LimitReached(NamedTuple):
     """No room for a request of ``units``: ``left`` is below zero and refills ``per_second``.
 
-    The order giver was last heard ``heard_seconds`` ago.
+    The order giver was last heard ``update_age_seconds`` ago.
     """
 
     units: float
     left: float
     per_second: float
-    heard_seconds: float
-    come_back_seconds: float
+    update_age_seconds: float
+    retry_after_seconds: float
 
 
 class UseLimiter:
@@ -71,7 +71,7 @@
         self._accounts: dict[str, UseAccount] = {}
         self._heard_at = float("-inf")
 
-    def draw(self, workspace: Workspace, tokens: int | None) -> Drawn | Short:
+    def draw(self, workspace: Workspace, tokens: int | None) -> Drawn | LimitReached:
         """Draw what a request of ``tokens`` counts as, if there is room for it."""
         limit = workspace.limit
         if limit is None:
@@ -87,8 +87,8 @@
             if self._fits(account, cost, allowance):
                 account.let_in(cost)
                 return Drawn(cost)
-            come_back = account.book(cost, allowance.per_second, now)
-        return Short(cost, left, allowance.per_second, now - self._heard_at, come_back)
+            retry_after = account.schedule_retry(cost, allowance.per_second, now)
+        return LimitReached(cost, left, allowance.per_second, now - self._heard_at, retry_after)
 
     def refund(self, workspace: Workspace, cost: float) -> None:
         """Take back what was drawn for a request that has not run."""
--- a/packages/redwingscale-daemon/tests/unit/workspaces/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/workspaces/conftest.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from redwingscale_daemon._internal.workspaces.use_limiter import Drawn, Short, UseLimiter
+from redwingscale_daemon._internal.workspaces.use_limiter import Drawn, LimitReached, UseLimiter
 from redwingscale_daemon._internal.workspaces.workspace import UseLimit, UseUnit, Workspace
 
 LIMIT = UseLimit(UseUnit.TOKENS, 1000.0, 1000.0, 200.0)
@@ -29,7 +29,7 @@
         match self.limiter.draw(workspace, tokens):
             case Drawn():
                 return 0
-            case Short(come_back_seconds=seconds):
+            case LimitReached(retry_after_seconds=seconds):
                 return seconds
 
     def count_let_in(self, tokens, times):
