--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
@@ -7,7 +7,7 @@
 
 OFFERED_HALF_SECONDS = 0.7
 # Parts that are smaller than a request are saved up for so many of them.
-PART_REQUESTS = 2
+SHARE_BURST_REQUESTS = 2
 MIN_RETRY_AFTER_SECONDS = 0.2
 MAX_RETRY_AFTER_SECONDS = 10.0
 # Units a second that are not worth telling.
@@ -24,7 +24,7 @@
 
     per_second: float
     burst: float
-    shared: bool
+    is_share: bool
     first: float
     unheard: float = 0.0
 
@@ -38,12 +38,12 @@
         self.since_heard = 0.0
         self.grant: GrantEntry | None = None
         # This instance's part of all that was offered when it last heard.
-        self.part: float | None = None
+        self.share: float | None = None
         self._used = 0.0
         self._told_used = 0.0
         self._told_offered = 0.0
         self._level_at = now
-        self._shared = False
+        self._was_share = False
         self._heard_at = float("-inf")
         # When what refused requests were told to come back for has refilled.
         self._retries_until = now
@@ -57,11 +57,11 @@
         """Refill the level up to now, and return it; a part may fill up to some requests."""
         if self.level is None:
             self.level = allowance.first
-        if allowance.shared and not self._shared:
+        if allowance.is_share and not self._was_share:
             # What was let in since the last news is taken off the part.
             self.level = min(self.level, allowance.burst - self.since_heard)
-        self._shared = allowance.shared
-        least = cost * PART_REQUESTS if allowance.shared else 0.0
+        self._was_share = allowance.is_share
+        least = cost * SHARE_BURST_REQUESTS if allowance.is_share else 0.0
         added = allowance.per_second * max(0.0, now - self._level_at)
         self.level = min(max(allowance.burst, least), self.level + added)
         self._level_at = now
@@ -80,7 +80,7 @@
     def take_grant(self, grant: GrantEntry) -> None:
         """Take what the order giver grants."""
         self.grant = grant
-        self.part = part_of(self._told_offered, grant.offered)
+        self.share = fraction_of(self._told_offered, grant.offered)
 
     def tell(self, name: str, now: float, *, always: bool) -> DrawnEntry | None:
         """Return what the order giver is told, None if nothing has changed."""
@@ -105,6 +105,6 @@
         return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, begin - now))
 
 
-def part_of(own: float, all_of_it: float) -> float:
-    """Return the part that ``own`` is of ``all_of_it``, 0 of nothing."""
-    return min(1.0, own / all_of_it) if all_of_it > 0 else 0.0
+def fraction_of(own: float, total: float) -> float:
+    """Return the part that ``own`` is of ``total``, 0 of nothing."""
+    return min(1.0, own / total) if total > 0 else 0.0
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.workspaces.use_account import Allowance, UseAccount, part_of
+from redwingscale_daemon._internal.workspaces.use_account import Allowance, UseAccount, fraction_of
 from redwingscale_daemon._internal.workspaces.use_messages import DrawnEntry, GrantEntry
 from redwingscale_daemon._internal.workspaces.workspace import UseLimit, Workspace
 
@@ -15,15 +15,15 @@
 FRESH_SECONDS = 0.7
 # Far from its limit, what one instance may let in of a workspace's burst before it hears
 # the next news, and at least so many requests.
-UNHEARD_PART = 0.03
+UNTIL_UPDATE_BURST_FRACTION = 0.03
 UNHEARD_REQUESTS = 2
 # Of an even part: what an instance may let in of a workspace that it was not asked for
 # while it last heard.
-UNTOLD_PART = 0.3
+IDLE_SHARE_FRACTION = 0.3
 # Of its part by what it is asked for, what an instance has that has told nothing yet.
-NEW_PART = 0.5
+UNANNOUNCED_SHARE_FRACTION = 0.5
 # Of what may be let in beyond a limit, what the parts use; the rest is for late news.
-SLACK_PART = 0.1
+SLACK_FRACTION = 0.1
 
 
 class Drawn(NamedTuple):
@@ -128,7 +128,7 @@
         part is let in, where a request for each of many instances would be far more.
         """
         left = account.level or 0.0
-        if not allowance.shared:
+        if not allowance.is_share:
             most = max(allowance.unheard, cost * UNHEARD_REQUESTS)
             fits = left >= 0 and account.since_heard < most
             account.level = left - cost * fits
@@ -145,22 +145,22 @@
             return self._untold(account, limit)
         grant = account.grant
         if grant is not None and grant.near_limit:
-            part = account.part or self._new_part(account, grant, now)
-            return Allowance(grant.per_second * part, limit.burst * part, shared=True, first=0.0)
-        unheard = limit.burst * max(UNHEARD_PART, account.part or 0.0)
+            share = account.share or self._unannounced_share(account, grant, now)
+            return Allowance(grant.per_second * share, limit.burst * share, is_share=True, first=0.0)
+        unheard = limit.burst * max(UNTIL_UPDATE_BURST_FRACTION, account.share or 0.0)
         return Allowance(
-            limit.per_second, limit.burst, shared=False, first=limit.burst, unheard=unheard
+            limit.per_second, limit.burst, is_share=False, first=limit.burst, unheard=unheard
         )
 
     def _untold(self, account: UseAccount, limit: UseLimit) -> Allowance:
         # A process that has just begun knows nothing of what was used before.
         anew = math.isinf(self._heard_at)
-        part = (1.0 if anew else UNTOLD_PART) / max(1, self._instances())
-        if account.part is not None:
-            part = max(account.part, part)
-        burst = (limit.burst + self._slack * SLACK_PART) * part
-        return Allowance(limit.per_second * part, burst, shared=True, first=0.0 if anew else burst)
+        share = (1.0 if anew else IDLE_SHARE_FRACTION) / max(1, self._instances())
+        if account.share is not None:
+            share = max(account.share, share)
+        burst = (limit.burst + self._slack * SLACK_FRACTION) * share
+        return Allowance(limit.per_second * share, burst, is_share=True, first=0.0 if anew else burst)
 
-    def _new_part(self, account: UseAccount, grant: GrantEntry, now: float) -> float:
+    def _unannounced_share(self, account: UseAccount, grant: GrantEntry, now: float) -> float:
         own = account.offered.now(now)
-        return part_of(own, grant.offered + own) * NEW_PART
+        return fraction_of(own, grant.offered + own) * UNANNOUNCED_SHARE_FRACTION
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_totals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_totals.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.workspaces.use_account import part_of
+from redwingscale_daemon._internal.workspaces.use_account import fraction_of
 from redwingscale_daemon._internal.workspaces.use_messages import DrawnEntry, GrantEntry
 from redwingscale_daemon._internal.workspaces.workspace import UseLimit
 
@@ -14,7 +14,7 @@
 FRESH_SECONDS = 1.5
 # One that falls silent may be cut off and go on with the part that it was told.
 RESERVED_SECONDS = 15.0
-MOST_RESERVED_PART = 0.5
+MAX_RESERVED_FRACTION = 0.5
 # A new order giver has then heard of all instances.
 FIRST_GRANT_SECONDS = 0.6
 # What was let in beyond the limit, or is left of the burst, is made up for in this time.
@@ -35,7 +35,7 @@
     at: float
     offered: float
     used: float
-    part: float
+    share: float
 
 
 class _Level:
@@ -82,8 +82,8 @@
                 told = self._told[entry.workspace]
                 # What a newcomer has used so far is no news: it may be of hours ago.
                 before = entry.used if newcomer else told[instance].used if instance in told else 0
-                part = part_of(entry.offered, self._offered_told.get(entry.workspace, 0.0))
-                told[instance] = _Told(now, entry.offered, entry.used, part)
+                share = fraction_of(entry.offered, self._offered_told.get(entry.workspace, 0.0))
+                told[instance] = _Told(now, entry.offered, entry.used, share)
                 # A count that falls is that of a process that has just begun.
                 new = entry.used - before if entry.used >= before else entry.used
                 self._level(entry.workspace, now).units -= new
@@ -118,7 +118,7 @@
     def _grant(self, name: str, limit: UseLimit, now: float) -> GrantEntry | None:
         heard, silent = self._offered(name, now)
         level = self._level(name, now)
-        reserved = min(MOST_RESERVED_PART, max(silent, self._unheard_part(now)))
+        reserved = min(MAX_RESERVED_FRACTION, max(silent, self._unseen_fraction(now)))
         per_second = limit.per_second * (1.0 - reserved)
         level.units = min(limit.burst, level.units + per_second * (now - level.at))
         level.at = now
@@ -134,7 +134,7 @@
         granted = max(0.0, per_second + level.units / CORRECTION_SECONDS)
         return GrantEntry(name, round(granted, 1), round(heard, 1), near_limit)
 
-    def _unheard_part(self, now: float) -> float:
+    def _unseen_fraction(self, now: float) -> float:
         if not self._instances or now - self._begun_at > RESERVED_SECONDS:
             return 0.0
         return max(0.0, 1.0 - len(self._heard_at) / self._instances)
@@ -147,5 +147,5 @@
             if age < FRESH_SECONDS:
                 heard += told.offered
             elif age < RESERVED_SECONDS:
-                silent += told.part
+                silent += told.share
         return heard, silent
