--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
@@ -11,14 +11,14 @@
 MIN_RETRY_AFTER_SECONDS = 0.2
 MAX_RETRY_AFTER_SECONDS = 10.0
 # Units a second that are not worth telling.
-STILL = 1.0
+IDLE_UNITS_PER_SECOND = 1.0
 
 
 class Allowance(NamedTuple):
     """Units a second, and units at once, that may be let in here.
 
     ``shared`` ones are this instance's part, which others do not use; of others it may let
-    in ``unheard`` units until it hears of the rest. A workspace that is new here may have
+    in ``until_update`` units until it hears of the rest. A workspace that is new here may have
     used its burst elsewhere: it has ``first`` units at once.
     """
 
@@ -26,7 +26,7 @@
     burst: float
     is_share: bool
     first: float
-    unheard: float = 0.0
+    until_update: float = 0.0
 
 
 class UseAccount:
@@ -35,23 +35,23 @@
     def __init__(self, now: float) -> None:
         self.offered = FadingRate(OFFERED_HALF_SECONDS, at=now)
         self.level: float | None = None
-        self.since_heard = 0.0
+        self.admitted_since_update = 0.0
         self.grant: GrantEntry | None = None
         # This instance's part of all that was offered when it last heard.
         self.share: float | None = None
         self._used = 0.0
-        self._told_used = 0.0
-        self._told_offered = 0.0
+        self._sent_used = 0.0
+        self._sent_offered = 0.0
         self._level_at = now
         self._was_share = False
-        self._heard_at = float("-inf")
+        self._received_at = float("-inf")
         # When what refused requests were told to come back for has refilled.
         self._retries_until = now
 
-    def note_news(self, heard_at: float) -> None:
-        """Begin to count ``since_heard`` anew if there were news since the last request."""
-        if self._heard_at < heard_at:
-            self._heard_at, self.since_heard = heard_at, 0.0
+    def reset_after_update(self, received_at: float) -> None:
+        """Begin to count ``admitted_since_update`` anew if there were news since the last request."""
+        if self._received_at < received_at:
+            self._received_at, self.admitted_since_update = received_at, 0.0
 
     def refill(self, allowance: Allowance, cost: float, now: float) -> float:
         """Refill the level up to now, and return it; a part may fill up to some requests."""
@@ -59,7 +59,7 @@
             self.level = allowance.first
         if allowance.is_share and not self._was_share:
             # What was let in since the last news is taken off the part.
-            self.level = min(self.level, allowance.burst - self.since_heard)
+            self.level = min(self.level, allowance.burst - self.admitted_since_update)
         self._was_share = allowance.is_share
         least = cost * SHARE_BURST_REQUESTS if allowance.is_share else 0.0
         added = allowance.per_second * max(0.0, now - self._level_at)
@@ -70,7 +70,7 @@
     def let_in(self, cost: float) -> None:
         """Count what was let in; below 0 for what is given back."""
         self._used += cost
-        self.since_heard += cost
+        self.admitted_since_update += cost
 
     def refund(self, cost: float) -> None:
         """Undo what a request has drawn that has not run."""
@@ -80,16 +80,16 @@
     def take_grant(self, grant: GrantEntry) -> None:
         """Take what the order giver grants."""
         self.grant = grant
-        self.share = fraction_of(self._told_offered, grant.offered)
+        self.share = fraction_of(self._sent_offered, grant.offered)
 
-    def tell(self, name: str, now: float, *, always: bool) -> DrawnEntry | None:
+    def make_entry(self, name: str, now: float, *, always: bool) -> DrawnEntry | None:
         """Return what the order giver is told, None if nothing has changed."""
-        used = max(self._told_used, self._used)
+        used = max(self._sent_used, self._used)
         offered = round(self.offered.now(now), 1)
-        still = offered < STILL and self._told_offered < STILL
-        if used == self._told_used and still and not always:
+        idle = offered < IDLE_UNITS_PER_SECOND and self._sent_offered < IDLE_UNITS_PER_SECOND
+        if used == self._sent_used and idle and not always:
             return None
-        self._told_used, self._told_offered = used, offered
+        self._sent_used, self._sent_offered = used, offered
         return DrawnEntry(name, offered, round(used, 1))
 
     def schedule_retry(self, cost: float, per_second: float, now: float) -> float:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
@@ -16,7 +16,7 @@
 # Far from its limit, what one instance may let in of a workspace's burst before it hears
 # the next news, and at least so many requests.
 UNTIL_UPDATE_BURST_FRACTION = 0.03
-UNHEARD_REQUESTS = 2
+MIN_REQUESTS_UNTIL_UPDATE = 2
 # Of an even part: what an instance may let in of a workspace that it was not asked for
 # while it last heard.
 IDLE_SHARE_FRACTION = 0.3
@@ -69,7 +69,7 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._accounts: dict[str, UseAccount] = {}
-        self._heard_at = float("-inf")
+        self._received_at = float("-inf")
 
     def draw(self, workspace: Workspace, tokens: int | None) -> Drawn | LimitReached:
         """Draw what a request of ``tokens`` counts as, if there is room for it."""
@@ -80,7 +80,7 @@
         now = self._clock()
         with self._lock:
             account = self._account(workspace.name, now)
-            account.note_news(self._heard_at)
+            account.reset_after_update(self._received_at)
             account.offered = account.offered.plus(cost, now)
             allowance = self._allowance(account, limit, now)
             left = account.refill(allowance, cost, now)
@@ -88,7 +88,7 @@
                 account.let_in(cost)
                 return Drawn(cost)
             retry_after = account.schedule_retry(cost, allowance.per_second, now)
-        return LimitReached(cost, left, allowance.per_second, now - self._heard_at, retry_after)
+        return LimitReached(cost, left, allowance.per_second, now - self._received_at, retry_after)
 
     def refund(self, workspace: Workspace, cost: float) -> None:
         """Take back what was drawn for a request that has not run."""
@@ -101,16 +101,17 @@
         """Return the use that differs from what was told last, or ``full``."""
         now = self._clock()
         with self._lock:
-            told = [
-                account.tell(name, now, always=full) for name, account in self._accounts.items()
+            entries = [
+                account.make_entry(name, now, always=full)
+                for name, account in self._accounts.items()
             ]
-        return [entry for entry in told if entry is not None]
+        return [entry for entry in entries if entry is not None]
 
     def receive(self, grants: Iterable[GrantEntry]) -> None:
         """Take what the order giver grants; workspaces that it does not name stay as told."""
         now = self._clock()
         with self._lock:
-            self._heard_at = now
+            self._received_at = now
             for grant in grants:
                 self._account(grant.workspace, now).take_grant(grant)
 
@@ -129,8 +130,8 @@
         """
         left = account.level or 0.0
         if not allowance.is_share:
-            most = max(allowance.unheard, cost * UNHEARD_REQUESTS)
-            fits = left >= 0 and account.since_heard < most
+            most = max(allowance.until_update, cost * MIN_REQUESTS_UNTIL_UPDATE)
+            fits = left >= 0 and account.admitted_since_update < most
             account.level = left - cost * fits
             return fits
         if 0 < left < cost:
@@ -141,25 +142,25 @@
         return fits
 
     def _allowance(self, account: UseAccount, limit: UseLimit, now: float) -> Allowance:
-        if now - self._heard_at > FRESH_SECONDS:
-            return self._untold(account, limit)
+        if now - self._received_at > FRESH_SECONDS:
+            return self._allowance_without_updates(account, limit)
         grant = account.grant
         if grant is not None and grant.near_limit:
             share = account.share or self._unannounced_share(account, grant, now)
             return Allowance(grant.per_second * share, limit.burst * share, is_share=True, first=0.0)
-        unheard = limit.burst * max(UNTIL_UPDATE_BURST_FRACTION, account.share or 0.0)
+        until_update = limit.burst * max(UNTIL_UPDATE_BURST_FRACTION, account.share or 0.0)
         return Allowance(
-            limit.per_second, limit.burst, is_share=False, first=limit.burst, unheard=unheard
+            limit.per_second, limit.burst, is_share=False, first=limit.burst, until_update=until_update
         )
 
-    def _untold(self, account: UseAccount, limit: UseLimit) -> Allowance:
+    def _allowance_without_updates(self, account: UseAccount, limit: UseLimit) -> Allowance:
         # A process that has just begun knows nothing of what was used before.
-        anew = math.isinf(self._heard_at)
-        share = (1.0 if anew else IDLE_SHARE_FRACTION) / max(1, self._instances())
+        just_started = math.isinf(self._received_at)
+        share = (1.0 if just_started else IDLE_SHARE_FRACTION) / max(1, self._instances())
         if account.share is not None:
             share = max(account.share, share)
         burst = (limit.burst + self._slack * SLACK_FRACTION) * share
-        return Allowance(limit.per_second * share, burst, is_share=True, first=0.0 if anew else burst)
+        return Allowance(limit.per_second * share, burst, is_share=True, first=0.0 if just_started else burst)
 
     def _unannounced_share(self, account: UseAccount, grant: GrantEntry, now: float) -> float:
         own = account.offered.now(now)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_totals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_totals.py
@@ -29,10 +29,10 @@
 LIGHT_LOAD_GRANT_SECONDS = 1.0
 
 
-class _Told(NamedTuple):
+class _InstanceUse(NamedTuple):
     """``part`` is what the instance lets in of a limit while it hears nothing more."""
 
-    at: float
+    received_at: float
     offered: float
     used: float
     share: float
@@ -43,9 +43,9 @@
 
     def __init__(self, now: float) -> None:
         self.units = 0.0
-        self.at = now
+        self.updated_at = now
         self.near_limit_until = float("-inf")
-        self.told_at = float("-inf")
+        self.granted_at = float("-inf")
 
 
 class UseTotals:
@@ -66,27 +66,27 @@
         with self._lock:
             self._begun_at = self._clock()
             self._instances = instances
-            self._told: dict[str, dict[str, _Told]] = defaultdict(dict)
+            self._use_by_workspace: dict[str, dict[str, _InstanceUse]] = defaultdict(dict)
             self._levels: dict[str, _Level] = {}
-            self._heard_at: dict[str, float] = {}
+            self._received_at: dict[str, float] = {}
             # What all instances are asked for of each workspace, as told to them last.
-            self._offered_told: dict[str, float] = {}
+            self._announced_offered: dict[str, float] = {}
 
     def receive(self, instance: str, entries: Iterable[DrawnEntry]) -> None:
         """Take the use that ``instance`` tells."""
         now = self._clock()
         with self._lock:
-            newcomer = instance not in self._heard_at
-            self._heard_at[instance] = now
+            is_new = instance not in self._received_at
+            self._received_at[instance] = now
             for entry in entries:
-                told = self._told[entry.workspace]
-                # What a newcomer has used so far is no news: it may be of hours ago.
-                before = entry.used if newcomer else told[instance].used if instance in told else 0
-                share = fraction_of(entry.offered, self._offered_told.get(entry.workspace, 0.0))
-                told[instance] = _Told(now, entry.offered, entry.used, share)
+                uses = self._use_by_workspace[entry.workspace]
+                # What a is_new has used so far is no news: it may be of hours ago.
+                previous = entry.used if is_new else uses[instance].used if instance in uses else 0
+                share = fraction_of(entry.offered, self._announced_offered.get(entry.workspace, 0.0))
+                uses[instance] = _InstanceUse(now, entry.offered, entry.used, share)
                 # A count that falls is that of a process that has just begun.
-                new = entry.used - before if entry.used >= before else entry.used
-                self._level(entry.workspace, now).units -= new
+                added = entry.used - previous if entry.used >= previous else entry.used
+                self._level(entry.workspace, now).units -= added
 
     def grants(self, limits_by_name: Mapping[str, UseLimit]) -> list[GrantEntry] | None:
         """Return the grants to tell now, None before all instances were heard.
@@ -116,36 +116,36 @@
         return level
 
     def _grant(self, name: str, limit: UseLimit, now: float) -> GrantEntry | None:
-        heard, silent = self._offered(name, now)
+        offered, silent_share = self._offered_and_silent(name, now)
         level = self._level(name, now)
-        reserved = min(MAX_RESERVED_FRACTION, max(silent, self._unseen_fraction(now)))
+        reserved = min(MAX_RESERVED_FRACTION, max(silent_share, self._unseen_fraction(now)))
         per_second = limit.per_second * (1.0 - reserved)
-        level.units = min(limit.burst, level.units + per_second * (now - level.at))
-        level.at = now
+        level.units = min(limit.burst, level.units + per_second * (now - level.updated_at))
+        level.updated_at = now
         near_limit = now < level.near_limit_until
         least = limit.burst * NEAR_LIMIT_BURST_FRACTION - self._slack * NEAR_LIMIT_SLACK_FRACTION
-        if level.units < least or (near_limit and heard > per_second):
+        if level.units < least or (near_limit and offered > per_second):
             level.near_limit_until = now + NEAR_LIMIT_SECONDS
             near_limit = True
-        if not near_limit and now - level.told_at < LIGHT_LOAD_GRANT_SECONDS:
+        if not near_limit and now - level.granted_at < LIGHT_LOAD_GRANT_SECONDS:
             return None
-        level.told_at = now if not near_limit else float("-inf")
-        self._offered_told[name] = heard
+        level.granted_at = now if not near_limit else float("-inf")
+        self._announced_offered[name] = offered
         granted = max(0.0, per_second + level.units / CORRECTION_SECONDS)
-        return GrantEntry(name, round(granted, 1), round(heard, 1), near_limit)
+        return GrantEntry(name, round(granted, 1), round(offered, 1), near_limit)
 
     def _unseen_fraction(self, now: float) -> float:
         if not self._instances or now - self._begun_at > RESERVED_SECONDS:
             return 0.0
-        return max(0.0, 1.0 - len(self._heard_at) / self._instances)
+        return max(0.0, 1.0 - len(self._received_at) / self._instances)
 
-    def _offered(self, name: str, now: float) -> tuple[float, float]:
+    def _offered_and_silent(self, name: str, now: float) -> tuple[float, float]:
         """Return what instances that are heard are asked for, and the part of silent ones."""
-        heard = silent = 0.0
-        for instance, told in self._told[name].items():
-            age = now - self._heard_at[instance]
+        offered = silent_share = 0.0
+        for instance, use in self._use_by_workspace[name].items():
+            age = now - self._received_at[instance]
             if age < FRESH_SECONDS:
-                heard += told.offered
+                offered += use.offered
             elif age < RESERVED_SECONDS:
-                silent += told.share
-        return heard, silent
+                silent_share += use.share
+        return offered, silent_share
