--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
@@ -25,7 +25,7 @@
     per_second: float
     burst: float
     is_share: bool
-    first: float
+    initial: float
     until_update: float = 0.0
 
 
@@ -56,7 +56,7 @@
     def refill(self, allowance: Allowance, cost: float, now: float) -> float:
         """Refill the level up to now, and return it; a part may fill up to some requests."""
         if self.level is None:
-            self.level = allowance.first
+            self.level = allowance.initial
         if allowance.is_share and not self._was_share:
             # What was let in since the last news is taken off the part.
             self.level = min(self.level, allowance.burst - self.admitted_since_update)
@@ -67,14 +67,14 @@
         self._level_at = now
         return self.level
 
-    def let_in(self, cost: float) -> None:
+    def count_admitted(self, cost: float) -> None:
         """Count what was let in; below 0 for what is given back."""
         self._used += cost
         self.admitted_since_update += cost
 
     def refund(self, cost: float) -> None:
         """Undo what a request has drawn that has not run."""
-        self.let_in(-cost)
+        self.count_admitted(-cost)
         self.level = (self.level or 0.0) + cost
 
     def take_grant(self, grant: GrantEntry) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
@@ -85,7 +85,7 @@
             allowance = self._allowance(account, limit, now)
             left = account.refill(allowance, cost, now)
             if self._fits(account, cost, allowance):
-                account.let_in(cost)
+                account.count_admitted(cost)
                 return Drawn(cost)
             retry_after = account.schedule_retry(cost, allowance.per_second, now)
         return LimitReached(cost, left, allowance.per_second, now - self._received_at, retry_after)
@@ -147,10 +147,10 @@
         grant = account.grant
         if grant is not None and grant.near_limit:
             share = account.share or self._unannounced_share(account, grant, now)
-            return Allowance(grant.per_second * share, limit.burst * share, is_share=True, first=0.0)
+            return Allowance(grant.per_second * share, limit.burst * share, is_share=True, initial=0.0)
         until_update = limit.burst * max(UNTIL_UPDATE_BURST_FRACTION, account.share or 0.0)
         return Allowance(
-            limit.per_second, limit.burst, is_share=False, first=limit.burst, until_update=until_update
+            limit.per_second, limit.burst, is_share=False, initial=limit.burst, until_update=until_update
         )
 
     def _allowance_without_updates(self, account: UseAccount, limit: UseLimit) -> Allowance:
@@ -160,7 +160,7 @@
         if account.share is not None:
             share = max(account.share, share)
         burst = (limit.burst + self._slack * SLACK_FRACTION) * share
-        return Allowance(limit.per_second * share, burst, is_share=True, first=0.0 if just_started else burst)
+        return Allowance(limit.per_second * share, burst, is_share=True, initial=0.0 if just_started else burst)
 
     def _unannounced_share(self, account: UseAccount, grant: GrantEntry, now: float) -> float:
         own = account.offered.now(now)
