--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/__init__.py
@@ -1,1 +1,1 @@
-"""Which workspace a request belongs to, and how much each workspace may use."""
+"""API keys of workspaces, and the limits of each workspace's use."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/request_permit.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/request_permit.py
@@ -1,4 +1,4 @@
-"""Lets requests in by the key that they bear."""
+"""Admits a request by its API key and its workspace's limit."""
 
 from redwingscale_common.utils.logs import log_event
 
@@ -11,9 +11,10 @@
 
 
 def workspace_of(table: RouteTable, route: Route, digest: bytes | None) -> Workspace | None:
-    """Return the workspace of the key with ``digest``; raise `Refusal` 401.
+    """Return the workspace of the key with ``digest``; raise `Refusal` 401 without a valid key.
 
-    None where callers need no key.
+    Returns None where no key is required: the table has no keys, or the route is public and
+    the request has no known key.
     """
     if table.keys is None:
         return None
@@ -21,14 +22,16 @@
     if workspace is not None or route.public:
         return workspace
     if digest is None:
-        raise Refusal(401, "key_missing", "a key is needed")
-    raise Refusal(401, "key_unknown", f"no key of version {table.version}")
+        raise Refusal(401, "key_missing", "an API key is required")
+    raise Refusal(
+        401, "key_unknown", f"the API key is not in configuration version {table.version}"
+    )
 
 
 class Permit:
-    """A request's right to run, which ends when its key is withdrawn.
+    """A request's authorization, valid until its key is removed from the configuration.
 
-    What it draws of its workspace's limit is given back if it does not run.
+    Units drawn from the workspace's limit are refunded if the request does not run.
     """
 
     def __init__(
@@ -48,9 +51,9 @@
         self.workspace = workspace_of(table, route, digest)
 
     def check(self) -> None:
-        """Raise `Refusal` 401 where a newer configuration no longer knows the key.
+        """Raise `Refusal` 401 if a newer configuration no longer has the key.
 
-        A request may wait for a holder while its key is withdrawn.
+        The key may be removed while the request waits for a holder.
         """
         table = self._routes.get()
         if table is not None and table is not self._table:
@@ -58,7 +61,7 @@
             self._table = table
 
     def draw(self, request: str, tokens: int | None) -> None:
-        """Draw what a request of ``tokens`` counts as; raise `Refusal` 429."""
+        """Draw the cost of a request of ``tokens``; raise `Refusal` 429 beyond the limit."""
         if self.workspace is None:
             return
         match self._limiter.draw(self.workspace, tokens):
@@ -68,7 +71,7 @@
                 raise _limit_reached(request, self.workspace, reached)
 
     def refund(self) -> None:
-        """Give back what was drawn: the request has not run, and never will."""
+        """Refund the units drawn for a request that has not run and will not run."""
         if self.workspace is not None:
             self._limiter.refund(self.workspace, self._drawn)
             self._drawn = 0.0
@@ -88,6 +91,6 @@
     return Refusal(
         429,
         "limit_reached",
-        f"{workspace.name} has used its limit",
+        f"workspace {workspace.name} has reached its limit",
         retry_after_seconds=reached.retry_after_seconds,
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
@@ -1,25 +1,26 @@
-"""What one instance knows of a workspace's use."""
+"""One instance's account of a workspace's use."""
 
 from typing import NamedTuple
 
 from redwingscale_daemon._internal.utils.fading_rate import FadingRate
 from redwingscale_daemon._internal.workspaces.use_messages import DrawnEntry, GrantEntry
 
-OFFERED_HALF_SECONDS = 0.7
-# Parts that are smaller than a request are saved up for so many of them.
+OFFERED_HALF_LIFE_SECONDS = 0.7
+# A share smaller than one request accumulates up to the cost of this many requests.
 SHARE_BURST_REQUESTS = 2
 MIN_RETRY_AFTER_SECONDS = 0.2
 MAX_RETRY_AFTER_SECONDS = 10.0
-# Units a second that are not worth telling.
+# Units a second; demand below this is not announced.
 IDLE_UNITS_PER_SECOND = 1.0
 
 
 class Allowance(NamedTuple):
-    """Units a second, and units at once, that may be let in here.
+    """The rate and the burst, in units, that this instance may admit for a workspace.
 
-    ``shared`` ones are this instance's part, which others do not use; of others it may let
-    in ``until_update`` units until it hears of the rest. A workspace that is new here may have
-    used its burst elsewhere: it has ``first`` units at once.
+    If ``is_share``, they are this instance's share, which no other instance uses. Otherwise
+    they are the whole limit, and the instance admits at most ``until_update`` units between
+    two updates. ``initial`` is the level of a workspace without an account here, which may
+    have used its burst at other instances.
     """
 
     per_second: float
@@ -30,14 +31,15 @@
 
 
 class UseAccount:
-    """``level`` may be let in at once; below 0 it is made up for first."""
+    """A token bucket: ``level`` units can be admitted now; a negative level refills first."""
 
     def __init__(self, now: float) -> None:
-        self.offered = FadingRate(OFFERED_HALF_SECONDS, at=now)
+        # The demand in units a second, whether admitted or refused.
+        self.offered = FadingRate(OFFERED_HALF_LIFE_SECONDS, at=now)
         self.level: float | None = None
         self.admitted_since_update = 0.0
         self.grant: GrantEntry | None = None
-        # This instance's part of all that was offered when it last heard.
+        # This instance's fraction of the demand of all instances, as of the last grant.
         self.share: float | None = None
         self._used = 0.0
         self._sent_used = 0.0
@@ -45,20 +47,23 @@
         self._level_at = now
         self._was_share = False
         self._received_at = float("-inf")
-        # When what refused requests were told to come back for has refilled.
+        # When the level has refilled enough for all retries that were scheduled.
         self._retries_until = now
 
     def reset_after_update(self, received_at: float) -> None:
-        """Begin to count ``admitted_since_update`` anew if there were news since the last request."""
+        """Reset ``admitted_since_update`` if an update came since the last request."""
         if self._received_at < received_at:
             self._received_at, self.admitted_since_update = received_at, 0.0
 
     def refill(self, allowance: Allowance, cost: float, now: float) -> float:
-        """Refill the level up to now, and return it; a part may fill up to some requests."""
+        """Refill the level up to ``now`` and return it.
+
+        A share may fill up to the cost of `SHARE_BURST_REQUESTS` requests.
+        """
         if self.level is None:
             self.level = allowance.initial
         if allowance.is_share and not self._was_share:
-            # What was let in since the last news is taken off the part.
+            # What was admitted since the last update counts against the share.
             self.level = min(self.level, allowance.burst - self.admitted_since_update)
         self._was_share = allowance.is_share
         least = cost * SHARE_BURST_REQUESTS if allowance.is_share else 0.0
@@ -68,22 +73,25 @@
         return self.level
 
     def count_admitted(self, cost: float) -> None:
-        """Count what was let in; below 0 for what is given back."""
+        """Count units as admitted; a negative ``cost`` is a refund."""
         self._used += cost
         self.admitted_since_update += cost
 
     def refund(self, cost: float) -> None:
-        """Undo what a request has drawn that has not run."""
+        """Refund the units of a request that has not run."""
         self.count_admitted(-cost)
         self.level = (self.level or 0.0) + cost
 
     def take_grant(self, grant: GrantEntry) -> None:
-        """Take what the order giver grants."""
+        """Store a grant of the leader, and the share that follows from it."""
         self.grant = grant
         self.share = fraction_of(self._sent_offered, grant.offered)
 
     def make_entry(self, name: str, now: float, *, always: bool) -> DrawnEntry | None:
-        """Return what the order giver is told, None if nothing has changed."""
+        """Return the entry for the next update.
+
+        Returns None if there was no use or demand since the last entry, unless ``always``.
+        """
         used = max(self._sent_used, self._used)
         offered = round(self.offered.now(now), 1)
         idle = offered < IDLE_UNITS_PER_SECOND and self._sent_offered < IDLE_UNITS_PER_SECOND
@@ -93,10 +101,10 @@
         return DrawnEntry(name, offered, round(used, 1))
 
     def schedule_retry(self, cost: float, per_second: float, now: float) -> float:
-        """Return in how many seconds a refused request finds room, and keep that room for it.
+        """Return the retry-after seconds of a refused request, and reserve its units.
 
-        Told the time at which there is room for one, all that were refused would come
-        back at the same moment, and be refused again.
+        Each refused request gets a later time than the one before: with the same time for
+        all, they would retry at the same moment and all but one be refused again.
         """
         if per_second <= 0:
             return MAX_RETRY_AFTER_SECONDS
@@ -106,5 +114,5 @@
 
 
 def fraction_of(own: float, total: float) -> float:
-    """Return the part that ``own`` is of ``total``, 0 of nothing."""
+    """Return ``own`` as a fraction of ``total``, at most 1, and 0 if ``total`` is 0."""
     return min(1.0, own / total) if total > 0 else 0.0
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
@@ -1,4 +1,4 @@
-"""Keeps a workspace's use within its limit at one instance of many."""
+"""Enforces the limits of workspaces' use at one of many instances."""
 
 import math
 import random
@@ -11,31 +11,34 @@
 from redwingscale_daemon._internal.workspaces.use_messages import DrawnEntry, GrantEntry
 from redwingscale_daemon._internal.workspaces.workspace import UseLimit, Workspace
 
-# Grants come four times a second.
+# The leader's updates come every 0.25 s. Without one for this long, an instance admits only
+# its share.
 FRESH_SECONDS = 0.7
-# Far from its limit, what one instance may let in of a workspace's burst before it hears
-# the next news, and at least so many requests.
+# Far from the limit, one instance admits at most this fraction of a workspace's burst until
+# the next update, but at least this many requests.
 UNTIL_UPDATE_BURST_FRACTION = 0.03
 MIN_REQUESTS_UNTIL_UPDATE = 2
-# Of an even part: what an instance may let in of a workspace that it was not asked for
-# while it last heard.
+# Without updates, the fraction of an even share that an instance may admit for a workspace
+# that it had no requests of when the last update came.
 IDLE_SHARE_FRACTION = 0.3
-# Of its part by what it is asked for, what an instance has that has told nothing yet.
+# The fraction of the share by its own demand that an instance may use before its demand
+# has been announced.
 UNANNOUNCED_SHARE_FRACTION = 0.5
-# Of what may be let in beyond a limit, what the parts use; the rest is for late news.
+# The fraction of the slack beyond a limit that shares may use; the rest is for late updates.
 SLACK_FRACTION = 0.1
 
 
 class Drawn(NamedTuple):
-    """Units that a request has drawn."""
+    """The request was admitted and has drawn ``units``."""
 
     units: float
 
 
 class LimitReached(NamedTuple):
-    """No room for a request of ``units``: ``left`` is below zero and refills ``per_second``.
+    """The request of ``units`` was refused: only ``left`` units are available.
 
-    The order giver was last heard ``update_age_seconds`` ago.
+    ``left`` may be negative and refills by ``per_second``. The last update of the leader
+    came ``update_age_seconds`` ago.
     """
 
     units: float
@@ -46,12 +49,12 @@
 
 
 class UseLimiter:
-    """Lets a request in while the workspace's level here covers it.
+    """Admits a request if the workspace's level at this instance covers its cost.
 
-    The level refills at this instance's part of the limit. While all instances use far
-    less than the limit each may use all of it, and use that rises is told within some
-    hundred milliseconds; near the limit, and without news, the parts of all instances
-    add up to the limit.
+    Far from the limit, the level of each instance refills at the whole limit: rising use is
+    announced to all instances within some hundred milliseconds. Near the limit, and without
+    updates, it refills at the instance's share, and the shares of all instances add up to
+    the limit.
     """
 
     def __init__(
@@ -62,9 +65,9 @@
         random_source: random.Random | None = None,
     ) -> None:
         self._instances = instances
-        # Units that all instances together may let in beyond a limit.
+        # Units that all instances together may admit beyond a limit.
         self._slack = slack
-        # Not for secrets: it only spreads small parts.
+        # Not for secrets: it only decides on requests that are larger than a share.
         self._random = random_source or random.Random()
         self._clock = clock
         self._lock = threading.Lock()
@@ -72,7 +75,7 @@
         self._received_at = float("-inf")
 
     def draw(self, workspace: Workspace, tokens: int | None) -> Drawn | LimitReached:
-        """Draw what a request of ``tokens`` counts as, if there is room for it."""
+        """Draw the cost of a request of ``tokens`` if the level covers it."""
         limit = workspace.limit
         if limit is None:
             return Drawn(0.0)
@@ -91,14 +94,14 @@
         return LimitReached(cost, left, allowance.per_second, now - self._received_at, retry_after)
 
     def refund(self, workspace: Workspace, cost: float) -> None:
-        """Take back what was drawn for a request that has not run."""
+        """Refund the units of a request that has not run."""
         if not cost:
             return
         with self._lock:
             self._account(workspace.name, self._clock()).refund(cost)
 
     def updates(self, *, full: bool = False) -> list[DrawnEntry]:
-        """Return the use that differs from what was told last, or ``full``."""
+        """Return the entries of workspaces with use or demand, or of all if ``full``."""
         now = self._clock()
         with self._lock:
             entries = [
@@ -108,7 +111,7 @@
         return [entry for entry in entries if entry is not None]
 
     def receive(self, grants: Iterable[GrantEntry]) -> None:
-        """Take what the order giver grants; workspaces that it does not name stay as told."""
+        """Store the grants of an update; workspaces that it lacks keep their last grant."""
         now = self._clock()
         with self._lock:
             self._received_at = now
@@ -122,11 +125,12 @@
         return account
 
     def _fits(self, account: UseAccount, cost: float, allowance: Allowance) -> bool:
-        """Return whether a request is let in, and take it off the level.
+        """Return whether a request is admitted, and subtract its cost from the level.
 
-        A part may be less than one request. One that does not fit is let in as often as
-        the level covers it, and uses up the level in either case: on average just the
-        part is let in, where a request for each of many instances would be far more.
+        A share may be smaller than one request. A request that costs more than the level is
+        admitted with the probability level / cost, and uses up the level in either case.
+        On average just the share is admitted; one request for each of many instances
+        would be far more.
         """
         left = account.level or 0.0
         if not allowance.is_share:
@@ -147,20 +151,28 @@
         grant = account.grant
         if grant is not None and grant.near_limit:
             share = account.share or self._unannounced_share(account, grant, now)
-            return Allowance(grant.per_second * share, limit.burst * share, is_share=True, initial=0.0)
+            return Allowance(
+                grant.per_second * share, limit.burst * share, is_share=True, initial=0.0
+            )
         until_update = limit.burst * max(UNTIL_UPDATE_BURST_FRACTION, account.share or 0.0)
         return Allowance(
-            limit.per_second, limit.burst, is_share=False, initial=limit.burst, until_update=until_update
+            limit.per_second,
+            limit.burst,
+            is_share=False,
+            initial=limit.burst,
+            until_update=until_update,
         )
 
     def _allowance_without_updates(self, account: UseAccount, limit: UseLimit) -> Allowance:
-        # A process that has just begun knows nothing of what was used before.
+        # A process that has just started does not know what was used before.
         just_started = math.isinf(self._received_at)
         share = (1.0 if just_started else IDLE_SHARE_FRACTION) / max(1, self._instances())
         if account.share is not None:
             share = max(account.share, share)
         burst = (limit.burst + self._slack * SLACK_FRACTION) * share
-        return Allowance(limit.per_second * share, burst, is_share=True, initial=0.0 if just_started else burst)
+        return Allowance(
+            limit.per_second * share, burst, is_share=True, initial=0.0 if just_started else burst
+        )
 
     def _unannounced_share(self, account: UseAccount, grant: GrantEntry, now: float) -> float:
         own = account.offered.now(now)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_messages.py
@@ -1,4 +1,4 @@
-"""What instances and the order giver tell each other of workspaces' use."""
+"""Entries on workspaces' use in the updates between instances and the leader."""
 
 import msgspec
 
@@ -6,8 +6,8 @@
 class DrawnEntry(msgspec.Struct, array_like=True):
     """One instance's use of a workspace's limit, in the limit's units.
 
-    ``offered`` a second are asked for lately; ``used`` were let in since the process
-    began, so that a lost message costs nothing.
+    ``offered`` is the recent demand per second, admitted or not. ``used`` is the total
+    admitted since the process started, so that a lost message loses no use.
     """
 
     workspace: str
@@ -16,10 +16,11 @@
 
 
 class GrantEntry(msgspec.Struct, array_like=True):
-    """What all instances together may let in of a workspace.
+    """The rate that all instances together may admit for a workspace.
 
-    ``offered`` is the sum of what they have told; where ``near_limit`` each lets in its
-    part of ``per_second`` by its part of that, else use is far from the limit.
+    ``offered`` is the sum of the demand that instances announced. If ``near_limit``, an
+    instance's share of ``per_second`` is its fraction of ``offered``; otherwise use is far
+    from the limit.
     """
 
     workspace: str
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_totals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_totals.py
@@ -1,4 +1,4 @@
-"""What all instances use of each workspace's limit, kept by the order giver."""
+"""The leader's totals of what all instances use of each workspace's limit."""
 
 import threading
 import time
@@ -10,27 +10,27 @@
 from redwingscale_daemon._internal.workspaces.use_messages import DrawnEntry, GrantEntry
 from redwingscale_daemon._internal.workspaces.workspace import UseLimit
 
-# Instances tell four times a second.
+# Instances send updates every 0.25 s; one without an update for this long is silent.
 FRESH_SECONDS = 1.5
-# One that falls silent may be cut off and go on with the part that it was told.
+# A silent instance may be cut off and still use its share, which is reserved for this long.
 RESERVED_SECONDS = 15.0
 MAX_RESERVED_FRACTION = 0.5
-# A new order giver has then heard of all instances.
+# The time in which a new leader receives an update of each instance.
 FIRST_GRANT_SECONDS = 0.6
-# What was let in beyond the limit, or is left of the burst, is made up for in this time.
+# Use beyond the limit is recovered, and the rest of the burst granted, over this time.
 CORRECTION_SECONDS = 1.0
-# Use is near the limit where less of the burst is left; it is for as long as more than
-# the limit is asked for, and a while after that.
+# Use is near the limit if less than this fraction of the burst is left. It remains so while
+# demand exceeds the limit, and for NEAR_LIMIT_SECONDS after that.
 NEAR_LIMIT_BURST_FRACTION = 0.5
-# A few requests of a small limit are not near it: as much of what may go beyond.
+# This fraction of the slack lowers that bound: a few requests use much of a small burst.
 NEAR_LIMIT_SLACK_FRACTION = 0.5
 NEAR_LIMIT_SECONDS = 2.0
-# Grants of workspaces that are far from their limits are told this often.
+# Interval of grants for workspaces that are far from their limits.
 LIGHT_LOAD_GRANT_SECONDS = 1.0
 
 
 class _InstanceUse(NamedTuple):
-    """``part`` is what the instance lets in of a limit while it hears nothing more."""
+    """An instance's last entry; ``share`` is the fraction of the limit that it uses if cut off."""
 
     received_at: float
     offered: float
@@ -39,7 +39,7 @@
 
 
 class _Level:
-    """The burst that is left of one workspace's limit, below 0 where too much was let in."""
+    """What is left of a workspace's burst; negative after use beyond the limit."""
 
     def __init__(self, now: float) -> None:
         self.units = 0.0
@@ -49,19 +49,19 @@
 
 
 class UseTotals:
-    """Adds up what instances tell, and grants what the limit leaves."""
+    """Adds up the use that instances announce, and grants what is left of each limit."""
 
     def __init__(self, slack: float = 0.0, clock: Callable[[], float] = time.monotonic) -> None:
-        # Units that all instances together may let in beyond a limit.
+        # Units that all instances together may admit beyond a limit.
         self._slack = slack
         self._clock = clock
         self._lock = threading.Lock()
         self.begin()
 
     def begin(self, instances: int = 0) -> None:
-        """Forget all: what was used while another instance granted is not known.
+        """Discard all totals: the use under a former leader is not known.
 
-        Of ``instances``, those that are not heard may be cut off, with parts of their own.
+        Those of ``instances`` that send no updates may be cut off and use shares of their own.
         """
         with self._lock:
             self._begun_at = self._clock()
@@ -69,29 +69,31 @@
             self._use_by_workspace: dict[str, dict[str, _InstanceUse]] = defaultdict(dict)
             self._levels: dict[str, _Level] = {}
             self._received_at: dict[str, float] = {}
-            # What all instances are asked for of each workspace, as told to them last.
+            # The demand at all instances for each workspace, as last announced to them.
             self._announced_offered: dict[str, float] = {}
 
     def receive(self, instance: str, entries: Iterable[DrawnEntry]) -> None:
-        """Take the use that ``instance`` tells."""
+        """Add the use in an update of ``instance``."""
         now = self._clock()
         with self._lock:
             is_new = instance not in self._received_at
             self._received_at[instance] = now
             for entry in entries:
                 uses = self._use_by_workspace[entry.workspace]
-                # What a is_new has used so far is no news: it may be of hours ago.
+                # The total of a new instance is no recent use: it may be hours old.
                 previous = entry.used if is_new else uses[instance].used if instance in uses else 0
-                share = fraction_of(entry.offered, self._announced_offered.get(entry.workspace, 0.0))
+                share = fraction_of(
+                    entry.offered, self._announced_offered.get(entry.workspace, 0.0)
+                )
                 uses[instance] = _InstanceUse(now, entry.offered, entry.used, share)
-                # A count that falls is that of a process that has just begun.
+                # A total that falls is that of a restarted process.
                 added = entry.used - previous if entry.used >= previous else entry.used
                 self._level(entry.workspace, now).units -= added
 
     def grants(self, limits_by_name: Mapping[str, UseLimit]) -> list[GrantEntry] | None:
-        """Return the grants to tell now, None before all instances were heard.
+        """Return the grants for the next update, None until all instances could send theirs.
 
-        No grants would tell that all use is as far from its limit as it was.
+        An empty list would mean that no grant has changed.
         """
         now = self._clock()
         with self._lock:
@@ -104,7 +106,7 @@
             ]
 
     def left(self, name: str) -> float | None:
-        """Return the units that are left of a workspace's burst, None before any use."""
+        """Return the units left of a workspace's burst, None before any use."""
         with self._lock:
             level = self._levels.get(name)
             return None if level is None else level.units
@@ -140,7 +142,7 @@
         return max(0.0, 1.0 - len(self._received_at) / self._instances)
 
     def _offered_and_silent(self, name: str, now: float) -> tuple[float, float]:
-        """Return what instances that are heard are asked for, and the part of silent ones."""
+        """Return the demand at instances that send updates, and the shares of silent ones."""
         offered = silent_share = 0.0
         for instance, use in self._use_by_workspace[name].items():
             age = now - self._received_at[instance]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/workspace.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/workspace.py
@@ -1,4 +1,4 @@
-"""A group of callers that shares keys, an urgency and a limit of use."""
+"""A group of callers with common API keys, a priority and a limit of use."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -12,9 +12,10 @@
 
 
 class UseLimit(NamedTuple):
-    """``per_second`` units on average, and ``burst`` more at once, over all instances.
+    """A limit over all instances: ``per_second`` units on average and ``burst`` more at once.
 
-    Where tokens are counted, a request that names none counts as ``plain_tokens``.
+    If tokens are counted, a request that does not state its tokens counts as
+    ``plain_tokens``.
     """
 
     unit: UseUnit
@@ -23,7 +24,7 @@
     plain_tokens: float = 0.0
 
     def cost(self, tokens: int | None) -> float:
-        """Return the units of a request that names ``tokens``, None for one that names none."""
+        """Return the units of a request; ``tokens`` is None if the request does not state them."""
         match self.unit:
             case UseUnit.REQUESTS:
                 return 1.0
@@ -32,7 +33,7 @@
 
 
 class Workspace(NamedTuple):
-    """``priority`` 0 is the most urgent; ``limit`` is None where use is free."""
+    """A workspace; ``priority`` 0 is the most urgent, and without ``limit`` use is unlimited."""
 
     name: str
     priority: int
