--- a/packages/redwingscale-daemon/tests/unit/workspaces/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/workspaces/conftest.py
@@ -1,4 +1,4 @@
-"""A limiter on a clock of its own."""
+"""Fixtures: an instance's limiter on a manual clock."""
 
 import random
 
@@ -19,21 +19,21 @@
 
 
 class Instance:
-    """One of ten."""
+    """One of ten instances."""
 
     def __init__(self, clock):
         self.limiter = UseLimiter(lambda: 10, clock=clock, random_source=random.Random(1))
 
-    def lets_in(self, tokens, workspace=WORKSPACE):
-        """Return 0 for a request that is let in, else when to come back."""
+    def draw(self, tokens, workspace=WORKSPACE):
+        """Return 0 for an admitted request, else its retry-after seconds."""
         match self.limiter.draw(workspace, tokens):
             case Drawn():
                 return 0
             case LimitReached(retry_after_seconds=seconds):
                 return seconds
 
-    def count_let_in(self, tokens, times):
-        return sum(self.lets_in(tokens) == 0 for _ in range(times))
+    def count_admitted(self, tokens, times):
+        return sum(self.draw(tokens) == 0 for _ in range(times))
 
 
 @pytest.fixture
--- a/packages/redwingscale-daemon/tests/unit/workspaces/test_limit_histories.py
+++ b/packages/redwingscale-daemon/tests/unit/workspaces/test_limit_histories.py
@@ -1,4 +1,4 @@
-"""Many instances keep one limit together, whatever becomes of their news."""
+"""Many instances keep one limit together while updates are late, lost or cut off."""
 
 import pytest
 from hypothesis import Phase, given, settings
@@ -6,11 +6,12 @@
 from redwingscale_standins.use_limits.ways import SLACK_TOKENS, FixedPart, Granted, ToldLevel
 from redwingscale_standins.use_limits.world import Shape, play
 
-# As on the users' sheet: the window over which a limit counts, what may go beyond it.
+# The users' requirement: the window over which a limit counts, and the allowed overshoot.
 WINDOW_SECONDS = 8.0
 OVERSHOOT = 0.1
 
-# A history is long already; a shorter one that fails tells no more.
+# Without shrinking: a shorter history that fails is no easier to read.
+# Derandomized examples depend on the name, doc comment and body of their test.
 PHASES = (Phase.explicit, Phase.generate)
 
 shapes = st.fixed_dictionaries(
@@ -43,8 +44,8 @@
     assert worst <= allowed(shape)
 
 
-def test_limit_holds_where_a_flood_begins_as_the_order_giver_is_lost():
-    """Guards against instances that let a flood in for as long as nobody tells them of it."""
+def test_limit_is_kept_if_a_flood_begins_as_the_leader_is_lost():
+    """Guards against instances that admit a flood until an update announces it."""
     shape = Shape(
         per_second=295_000.0, flood=6.0, flood_from=8.0, flood_to=18.0,
         silent_from=7.5, silent_to=13.0, silent_part=1.0, new_giver_at=12.9,
@@ -53,8 +54,8 @@
     assert worst <= allowed(shape)
 
 
-def test_limit_holds_where_a_flood_begins_just_after_a_third_was_cut_off():
-    """Guards against parts that those in touch use as well until the silence is noticed."""
+def test_limit_is_kept_if_a_flood_begins_just_after_a_third_is_cut_off():
+    """Guards against shares of cut-off instances that others use before the silence is seen."""
     shape = Shape(
         per_second=317_000.0, flood=10.8, delay=0.1,
         silent_from=7.0, silent_to=14.0, silent_part=0.33,
@@ -70,18 +71,18 @@
     calm = shape._replace(flood=1.0, usual=0.4, silent_part=0.0, counted_from=3.0)
     counts = play(calm, Granted, seed)
     let_in, exact = sum(tokens for _, tokens in counts.let_in), counts.exact_tokens
-    # Two requests: an exact limit may have let in others than these.
+    # Less two requests: an exact limit may admit other requests than these.
     assert let_in >= 0.98 * exact - 2 * calm.tokens
 
 
 @pytest.mark.parametrize("through", [4, 16, 60])
-def test_granted_parts_beat_fixed_ones_and_told_levels(through):
-    """Fixed parts refuse what is allowed; told levels let in too much without news."""
+def test_granted_shares_are_better_than_fixed_shares_and_announced_levels(through):
+    """Fixed shares refuse allowed use; announced levels admit too much without updates."""
     cut = Shape(
         per_second=60_000.0, through=through, silent_from=9.0, silent_to=13.0, silent_part=0.33
     )
-    granted, fixed, told = (play(cut, way, 1) for way in (Granted, FixedPart, ToldLevel))
+    granted, fixed, level = (play(cut, way, 1) for way in (Granted, FixedPart, ToldLevel))
     shortfall = [one.shortfall for one in (granted, fixed)]
-    worst = [one.worst_window(WINDOW_SECONDS) for one in (granted, told)]
+    worst = [one.worst_window(WINDOW_SECONDS) for one in (granted, level)]
     assert shortfall[0] < shortfall[1] / 3
     assert worst[0] < worst[1]
