--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -146,9 +146,9 @@
                 call.attempts.failure = FailedResponse(response.status, headers, body)
             return False
         if unsigned:
-            raise _failure_refusal("the response is not signed")
-        headers = self._parts.dialect.response_headers(response)
-        call.reply.whole(response.status, headers, body)
+            raise _lost("the answer bears no signature")
+        headers = self._parts.dialect.answer_headers(response)
+        call.reply.send(response.status, headers, body)
         return True
 
 
@@ -160,7 +160,7 @@
     failure = call.attempts.failure
     if failure is None:
         return False
-    call.reply.whole(failure.status, failure.headers, failure.body)
+    call.reply.send(failure.status, failure.headers, failure.body)
     return True
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -189,14 +189,14 @@
 
     def _refuse(self, refusal: Refusal, reply: Reply) -> None:
         if reply.started:
-            reply.cut()
+            reply.abort()
             return
         headers = [("Content-Type", "application/problem+json")]
         if refusal.retry_after_seconds is not None:
             headers.append(("Retry-After", f"{refusal.retry_after_seconds:.2f}"))
         if refusal.status == HTTPStatus.UNAUTHORIZED:
             headers.append(("WWW-Authenticate", "Bearer"))
-        reply.whole(refusal.status, headers, refusal.document())
+        reply.send(refusal.status, headers, refusal.document())
 
     def _log_end(
         self,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/reply.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/reply.py
@@ -21,7 +21,7 @@
         """Whether the head has gone out; no other answer can follow."""
         return bool(self._request.sent_headers)
 
-    def whole(self, status: int, headers: Iterable[tuple[str, str]], body: bytes) -> None:
+    def send(self, status: int, headers: Iterable[tuple[str, str]], body: bytes) -> None:
         """Answer with ``body``; raise `CallerLeft`."""
         self._set_head(status, headers)
         self._request.outheaders.append((_CONTENT_LENGTH, str(len(body)).encode()))
@@ -38,7 +38,7 @@
         """Pass on the next bytes of a stream; raise `CallerLeft`."""
         self._write(data)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End a stream that is not whole: the caller sees no terminator, and the close."""
         self._request.chunked_write = False
         self._request.close_connection = True
@@ -72,7 +72,7 @@
         try:
             self._request.write(data)
         except OSError as error:
-            self.cut()
+            self.abort()
             raise CallerLeft(repr(error)) from error
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/probe_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/probe_app.py
@@ -18,10 +18,10 @@
     def handle(self, request: IngressRequest, reply: Reply) -> None:
         """Answer one probe; the body says why the instance is not ready."""
         if request.path != self._path:
-            reply.whole(404, _TEXT, b"not found\n")
+            reply.send(404, _TEXT, b"not found\n")
             return
         reason = self._reason()
-        reply.whole(503 if reason else 200, _TEXT, (reason or "ready").encode() + b"\n")
+        reply.send(503 if reason else 200, _TEXT, (reason or "ready").encode() + b"\n")
 
 
 class MetricsApp:
@@ -32,4 +32,4 @@
 
     def handle(self, request: IngressRequest, reply: Reply) -> None:
         """Answer with the page, whatever the path."""
-        reply.whole(200, _TEXT, self._page())
+        reply.send(200, _TEXT, self._page())
--- a/packages/redwingscale-daemon/tests/unit/ingress/test_request_threads.py
+++ b/packages/redwingscale-daemon/tests/unit/ingress/test_request_threads.py
@@ -24,12 +24,12 @@
 
     def handle(self, request, reply):
         if self.server.crowded:
-            reply.whole(503, (), b"")
+            reply.send(503, (), b"")
             return
         if request.target == "/wait":
             self.arrived.release()
             self.release.wait(WAIT_SECONDS)
-        reply.whole(200, (), b"whole")
+        reply.send(200, (), b"whole")
 
     def send(self, target):
         connection = http.client.HTTPConnection("127.0.0.1", self.server.port, timeout=WAIT_SECONDS)
