--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/request_threads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/request_threads.py
@@ -14,27 +14,27 @@
 
 # A thread that has had nothing to do for this long ends. Callers come in bursts of
 # some seconds: what one burst has started serves the next one.
-REST_SECONDS = 10.0
+IDLE_SECONDS = 10.0
 # One line for a bound that is met again and again.
 FULL_LOG_SECONDS = 5.0
 
 
-class _Seat:
+class _IdleThread:
     """A thread that waits for a connection."""
 
     def __init__(self) -> None:
-        self._given = threading.Lock()
-        self._given.acquire()
+        self._assigned = threading.Lock()
+        self._assigned.acquire()
         self.connection: Any = None
 
-    def give(self, connection: Any) -> None:
+    def assign(self, connection: Any) -> None:
         """Wake the thread with ``connection``."""
         self.connection = connection
-        self._given.release()
+        self._assigned.release()
 
     def wait(self, seconds: float) -> bool:
         """Return whether a connection has come in time."""
-        return self._given.acquire(timeout=seconds)
+        return self._assigned.acquire(timeout=seconds)
 
 
 class RequestThreads(ThreadPool):
@@ -48,18 +48,18 @@
 
     _threads: list[threading.Thread]
 
-    def __init__(self, server: Any, name: str, least: int, most: int) -> None:
-        super().__init__(server, min=least, max=most)
+    def __init__(self, server: Any, name: str, minimum: int, maximum: int) -> None:
+        super().__init__(server, min=minimum, max=maximum)
         self._name = name
         self._lock = threading.Lock()
-        self._resting: list[_Seat] = []
+        self._idle: list[_IdleThread] = []
         # Threads that have a connection: one that has just started has none yet.
         self._serving: set[int] = set()
         self._backlog: deque[Any] = deque()
         self._stopping = False
         self._full_logged_at = float("-inf")
         # The server's threads take their connections from this attribute.
-        self.get = self._next
+        self.get = self._next_connection
 
     @property
     def busy(self) -> int:
@@ -80,8 +80,8 @@
     def put(self, obj: Any) -> None:
         """Give a connection to a resting thread, else to a new one, else to the next free."""
         with self._lock:
-            if self._resting:
-                self._resting.pop().give(obj)
+            if self._idle:
+                self._idle.pop().assign(obj)
                 return
             self._backlog.append(obj)
             if len(self._threads) < self.max:
@@ -93,12 +93,12 @@
         """End all threads; connections that wait are served first."""
         with self._lock:
             self._stopping = True
-            for seat in self._resting:
-                seat.give(_SHUTDOWNREQUEST)
-            self._resting.clear()
+            for idle in self._idle:
+                idle.assign(_SHUTDOWNREQUEST)
+            self._idle.clear()
         super().stop(timeout)
 
-    def _next(self) -> Any:
+    def _next_connection(self) -> Any:
         me = threading.get_ident()
         self._serving.discard(me)
         connection = self._await_connection()
@@ -113,15 +113,15 @@
                     return self._backlog.popleft()
                 if self._stopping:
                     return _SHUTDOWNREQUEST
-                seat = _Seat()
-                self._resting.append(seat)
-            if seat.wait(REST_SECONDS):
-                return seat.connection
+                idle = _IdleThread()
+                self._idle.append(idle)
+            if idle.wait(IDLE_SECONDS):
+                return idle.connection
             with self._lock:
-                if seat not in self._resting:
+                if idle not in self._idle:
                     # It was given a connection just when its rest ended.
-                    return seat.connection
-                self._resting.remove(seat)
+                    return idle.connection
+                self._idle.remove(idle)
                 if len(self._threads) > self.min:
                     self._threads.remove(threading.current_thread())
                     return _SHUTDOWNREQUEST
--- a/packages/redwingscale-daemon/tests/unit/ingress/test_request_threads.py
+++ b/packages/redwingscale-daemon/tests/unit/ingress/test_request_threads.py
@@ -85,13 +85,13 @@
 def test_a_port_that_has_just_started_is_not_crowded(monkeypatch):
     """Guards against refusals by a port whose threads have not begun to wait yet."""
     held = threading.Event()
-    begin = request_threads.RequestThreads._next
+    begin = request_threads.RequestThreads._next_connection
 
     def begin_late(threads):
         held.wait(WAIT_SECONDS)
         return begin(threads)
 
-    monkeypatch.setattr(request_threads.RequestThreads, "_next", begin_late)
+    monkeypatch.setattr(request_threads.RequestThreads, "_next_connection", begin_late)
     port = Port(most=3)
     assert not port.server.crowded
     held.set()
@@ -99,8 +99,8 @@
     port.server.stop()
 
 
-def test_threads_that_rest_end(port, monkeypatch):
-    monkeypatch.setattr(request_threads, "REST_SECONDS", 0.05)
+def test_idle_threads_end(port, monkeypatch):
+    monkeypatch.setattr(request_threads, "IDLE_SECONDS", 0.05)
     sent = port.wait_for(MOST - REFUSING)
     port.release.set()
     assert [one.getresponse().status for one in sent] == [200] * len(sent)
