--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/ingress_server.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/ingress_server.py
@@ -23,10 +23,10 @@
 Screen = Callable[[IngressRequest, Reply], bool]
 # The server keeps 10 idle connections by default and closes the rest at once: a
 # caller that sends on one at that moment would see its request cut.
-KEPT_CONNECTIONS = 2000
+MAX_IDLE_CONNECTIONS = 2000
 SHUTDOWN_SECONDS = 1
 # Without anything to do.
-LEAST_THREADS = 2
+MIN_THREADS = 2
 
 
 class PortLimits(NamedTuple):
@@ -77,14 +77,14 @@
             server_request.sent_headers = True
             return
         except CallerLeft:
-            self._give_up()
+            self._close_without_answer()
             return
         try:
             self._handler(head._replace(body=body), Reply(server_request))
         except CallerLeft:
-            self._give_up()
+            self._close_without_answer()
 
-    def _give_up(self) -> None:
+    def _close_without_answer(self) -> None:
         self.req.close_connection = True
         self.req.chunked_write = False
         self.req.sent_headers = True
@@ -118,12 +118,12 @@
         server: Any = HTTPServer((host, port), gateway)
         self._server = server
         self._threads = RequestThreads(
-            server, limits.name, min(LEAST_THREADS, limits.threads), limits.threads
+            server, limits.name, min(MIN_THREADS, limits.threads), limits.threads
         )
         self._answering_threads = limits.threads - limits.refusing_threads
         server.requests = self._threads
         server.ConnectionClass = _Connection
-        server.keep_alive_conn_limit = KEPT_CONNECTIONS
+        server.keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
         server.max_request_header_size = limits.head_bytes
         server.timeout = limits.idle_seconds
         server.shutdown_timeout = SHUTDOWN_SECONDS
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/strict_chunks.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/strict_chunks.py
@@ -7,43 +7,43 @@
 
 _SIZE = re.compile(rb"[0-9A-Fa-f]{1,8}")
 _CRLF = b"\r\n"
-_LONGEST_LINE_BYTES = 4096
+_MAX_LINE_BYTES = 4096
 
 
-def read_chunks(stream: Any, most_bytes: int) -> bytes:
+def read_chunks(stream: Any, max_bytes: int) -> bytes:
     """Return the body that begins at ``stream``, with its trailer consumed.
 
     Raises ValueError for a size that is not plain hexadecimal digits or a chunk
-    without its end, `MaxSizeExceeded` beyond ``most_bytes``. The server's own
+    without its end, `MaxSizeExceeded` beyond ``max_bytes``. The server's own
     reader takes ``0x5``, ``+5`` and ``1_0`` as sizes.
     """
     body = bytearray()
-    while size := _chunk_size(_line(stream)):
-        if len(body) + size > most_bytes:
+    while size := _parse_size(_read_line(stream)):
+        if len(body) + size > max_bytes:
             raise MaxSizeExceeded
-        body += _exactly(stream, size)
+        body += _read_exactly(stream, size)
         if stream.read(len(_CRLF)) != _CRLF:
             raise ValueError("a chunk does not end where its size says")
-    while _line(stream):
+    while _read_line(stream):
         pass
     return bytes(body)
 
 
-def _chunk_size(line: bytes) -> int:
+def _parse_size(line: bytes) -> int:
     size = line.partition(b";")[0].rstrip(b" \t")
     if not _SIZE.fullmatch(size):
         raise ValueError("a chunk size is not hexadecimal digits")
     return int(size, 16)
 
 
-def _line(stream: Any) -> bytes:
-    line: bytes = stream.readline(_LONGEST_LINE_BYTES)
+def _read_line(stream: Any) -> bytes:
+    line: bytes = stream.readline(_MAX_LINE_BYTES)
     if not line.endswith(_CRLF):
         raise ValueError("a line of a chunked body has no end")
     return line[: -len(_CRLF)]
 
 
-def _exactly(stream: Any, size: int) -> bytes:
+def _read_exactly(stream: Any, size: int) -> bytes:
     data: bytes = stream.read(size)
     if len(data) != size:
         raise ValueError("the body ended inside a chunk")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/store_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/store_client.py
@@ -25,7 +25,7 @@
 CONNECT_SECONDS = 0.5
 # What a long poll may be late beyond the wait that it asked for.
 FEED_MARGIN_SECONDS = 0.5
-_MOST_PAGES = 20
+_MAX_PAGES = 20
 _TIMEOUT = urllib3.Timeout(connect=CONNECT_SECONDS, read=ANSWER_SECONDS)
 
 
@@ -62,7 +62,7 @@
         start = ""
         # That of the first page: what is written between pages may be missing.
         version: int | None = None
-        for _ in range(_MOST_PAGES):
+        for _ in range(_MAX_PAGES):
             page = self._page(table, partition, start)
             found.extend(map(_stored_row, page.rows))
             version = page.row_version if version is None else version
@@ -70,7 +70,7 @@
                 return Snapshot(tuple(found), version)
             # The range begins with its first key: the next one after ours.
             start = page.rows[-1].key + "\x00"
-        raise PlatformUnavailable(f"table {table!r} has more than {_MOST_PAGES} pages")
+        raise PlatformUnavailable(f"table {table!r} has more than {_MAX_PAGES} pages")
 
     def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
         """See `RowStore.changes`."""
@@ -82,10 +82,10 @@
 
     def write(self, key: RowKey, value: bytes, expected_version: int) -> int | None:
         """See `RowStore.write`."""
-        place = {"Table": key.table, "part": key.partition, "Key": key.key}
+        row_key = {"Table": key.table, "part": key.partition, "Key": key.key}
         body = {
-            "Expect": [{**place, "RowVersion": expected_version}],
-            "Puts": [{**place, "Value": base64.b64encode(value).decode()}],
+            "Expect": [{**row_key, "RowVersion": expected_version}],
+            "Puts": [{**row_key, "Value": base64.b64encode(value).decode()}],
             "Remove": [],
         }
         status, answer = self._send("POST", "/api/rows-tx", msgspec.json.encode(body), None)
