--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/request_threads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/request_threads.py
@@ -19,7 +19,7 @@
 FULL_LOG_SECONDS = 5.0
 
 
-class _IdleThread:
+class _Waiter:
     """A thread that waits for a connection."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         super().__init__(server, min=minimum, max=maximum)
         self._name = name
         self._lock = threading.Lock()
-        self._idle: list[_IdleThread] = []
+        self._waiters: list[_Waiter] = []
         # Threads that have a connection: one that has just started has none yet.
         self._serving: set[int] = set()
         self._backlog: deque[Any] = deque()
@@ -80,8 +80,8 @@
     def put(self, obj: Any) -> None:
         """Give a connection to a resting thread, else to a new one, else to the next free."""
         with self._lock:
-            if self._idle:
-                self._idle.pop().assign(obj)
+            if self._waiters:
+                self._waiters.pop().assign(obj)
                 return
             self._backlog.append(obj)
             if len(self._threads) < self.max:
@@ -93,9 +93,9 @@
         """End all threads; connections that wait are served first."""
         with self._lock:
             self._stopping = True
-            for idle in self._idle:
-                idle.assign(_SHUTDOWNREQUEST)
-            self._idle.clear()
+            for waiter in self._waiters:
+                waiter.assign(_SHUTDOWNREQUEST)
+            self._waiters.clear()
         super().stop(timeout)
 
     def _next_connection(self) -> Any:
@@ -113,15 +113,15 @@
                     return self._backlog.popleft()
                 if self._stopping:
                     return _SHUTDOWNREQUEST
-                idle = _IdleThread()
-                self._idle.append(idle)
-            if idle.wait(IDLE_SECONDS):
-                return idle.connection
+                waiter = _Waiter()
+                self._waiters.append(waiter)
+            if waiter.wait(IDLE_SECONDS):
+                return waiter.connection
             with self._lock:
-                if idle not in self._idle:
+                if waiter not in self._waiters:
                     # It was given a connection just when its rest ended.
-                    return idle.connection
-                self._idle.remove(idle)
+                    return waiter.connection
+                self._waiters.remove(waiter)
                 if len(self._threads) > self.min:
                     self._threads.remove(threading.current_thread())
                     return _SHUTDOWNREQUEST
