--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' port for requests that are passed on byte for byte."""
+"""HTTP server for requests that are forwarded byte for byte."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/ingress_request.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/ingress_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, as it came."""
+"""One request of a caller, as received."""
 
 import socket
 from typing import NamedTuple
@@ -7,10 +7,10 @@
 
 
 class IngressRequest(NamedTuple):
-    """``target`` is the request target byte for byte; ``body`` is whole.
+    """A request; ``target`` is kept byte for byte and ``body`` is complete.
 
-    ``arrived_at`` is the monotonic time at which the head had been read. The
-    ``socket`` is the caller's: it tells when the caller has left.
+    ``arrived_at`` is the monotonic time after the head was read. ``socket`` is the
+    caller's connection, on which a disconnect of the caller is seen.
     """
 
     method: str
@@ -23,5 +23,5 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query."""
         return self.target.partition("?")[0]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/ingress_server.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/ingress_server.py
@@ -1,4 +1,4 @@
-"""The port for requests that are passed on byte for byte."""
+"""HTTP server for requests that are forwarded byte for byte."""
 
 import threading
 import time
@@ -19,21 +19,21 @@
 from redwingscale_daemon._internal.ingress.strict_headers import StrictHeaderReader
 
 Handler = Callable[[IngressRequest, Reply], None]
-# Answers a request by its head alone, or returns False to have its body read.
+# Answers a request by its head alone, or returns False to let the server read its body.
 Screen = Callable[[IngressRequest, Reply], bool]
-# The server keeps 10 idle connections by default and closes the rest at once: a
-# caller that sends on one at that moment would see its request cut.
+# The server's default keeps 10 idle connections and closes the others at once: a caller
+# that sends a request at that moment would see its connection closed.
 MAX_IDLE_CONNECTIONS = 2000
 SHUTDOWN_SECONDS = 1
-# Without anything to do.
+# Threads that a port keeps while it is idle.
 MIN_THREADS = 2
 
 
 class PortLimits(NamedTuple):
-    """Bounds of the port; ``idle_seconds`` also bounds the time to send a request.
+    """Bounds of a port; ``idle_seconds`` also bounds the time to send a request.
 
-    ``refusing_threads`` of the ``threads`` are for requests that are refused because
-    all others are taken.
+    ``refusing_threads`` of the ``threads`` are reserved to refuse requests while all
+    others are busy.
     """
 
     threads: int
@@ -99,12 +99,12 @@
             raise MaxSizeExceeded
         body = self.req.rfile.read(length) if length else b""
         if len(body) != length:
-            raise EOFError("the body ended before its length")
+            raise EOFError("the body is shorter than its Content-Length")
         return body
 
 
 class IngressServer:
-    """Serves ``handler`` on a TCP port; port 0 takes a free one."""
+    """Serves ``handler`` on a TCP port; port 0 selects a free one."""
 
     def __init__(
         self,
@@ -133,25 +133,25 @@
         )
 
     def start(self) -> None:
-        """Bind and serve; raise OSError when the address is taken."""
+        """Bind the address and serve; raise OSError if the address is in use."""
         self._server.prepare()
         self._thread.start()
 
     @property
     def port(self) -> int:
-        """The port in use, also when 0 was asked for."""
+        """The bound port, also if port 0 was requested."""
         return int(self._server.bind_addr[1])
 
     @property
     def crowded(self) -> bool:
-        """Whether only threads are left that are kept to refuse requests."""
+        """Whether only threads reserved to refuse requests are free."""
         return self._threads.busy > self._answering_threads
 
     def stop(self, most_seconds: float = SHUTDOWN_SECONDS) -> None:
-        """Stop accepting, close what is idle, and wait for requests at most ``most_seconds``.
+        """Stop accepting, close idle connections, and wait at most ``most_seconds``.
 
-        Whatever was accepted is answered: a request that was read and then lost
-        would be one that its caller cannot know to be unrun.
+        Each accepted request is answered: for one that was read and then dropped, its
+        caller could not know that it has not run.
         """
         self._server.shutdown_timeout = most_seconds
         self._server.stop()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/reply.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/reply.py
@@ -10,7 +10,7 @@
 
 
 class Reply:
-    """Writes one answer: either whole, or as a stream that ends or is cut."""
+    """Writes one answer: a complete one, or a stream that ends or is aborted."""
 
     def __init__(self, server_request: Any) -> None:
         self._request = server_request
@@ -18,11 +18,11 @@
 
     @property
     def started(self) -> bool:
-        """Whether the head has gone out; no other answer can follow."""
+        """Whether the head was sent, after which no other answer can follow."""
         return bool(self._request.sent_headers)
 
     def send(self, status: int, headers: Iterable[tuple[str, str]], body: bytes) -> None:
-        """Answer with ``body``; raise `CallerLeft`."""
+        """Send a complete answer; raise `CallerLeft`."""
         self._set_head(status, headers)
         self._request.outheaders.append((_CONTENT_LENGTH, str(len(body)).encode()))
         self._send_head()
@@ -35,11 +35,11 @@
         self._send_head()
 
     def write(self, data: bytes) -> None:
-        """Pass on the next bytes of a stream; raise `CallerLeft`."""
+        """Send the next bytes of a stream; raise `CallerLeft`."""
         self._write(data)
 
     def abort(self) -> None:
-        """End a stream that is not whole: the caller sees no terminator, and the close."""
+        """End an incomplete stream: the connection closes without the last chunk."""
         self._request.chunked_write = False
         self._request.close_connection = True
 
@@ -48,7 +48,7 @@
         self._request.close_connection = True
 
     def leave_body_unread(self) -> None:
-        """Answer at once, and close the connection if the request has a body."""
+        """Leave the request body unread; if there is one, close the connection after the answer."""
         request = self._request
         if request.chunked_read or getattr(request.rfile, "remaining", 0):
             request.conn.has_rest = True
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/request_threads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/request_threads.py
@@ -1,4 +1,4 @@
-"""The threads of a port: they come with need and go when they rest."""
+"""A thread pool that grows with demand and ends threads that stay idle."""
 
 import threading
 import time
@@ -12,15 +12,15 @@
 )
 from redwingscale_common.utils.logs import log_event
 
-# A thread that has had nothing to do for this long ends. Callers come in bursts of
-# some seconds: what one burst has started serves the next one.
+# A thread that is idle for this long ends. Requests come in bursts of some seconds: the
+# threads started for one burst serve the next one.
 IDLE_SECONDS = 10.0
-# One line for a bound that is met again and again.
+# At most one log line in this time while all threads are busy.
 FULL_LOG_SECONDS = 5.0
 
 
 class _Waiter:
-    """A thread that waits for a connection."""
+    """An idle thread's wait for a connection."""
 
     def __init__(self) -> None:
         self._assigned = threading.Lock()
@@ -33,17 +33,17 @@
         self._assigned.release()
 
     def wait(self, seconds: float) -> bool:
-        """Return whether a connection has come in time."""
+        """Return whether a connection was assigned within ``seconds``."""
         return self._assigned.acquire(timeout=seconds)
 
 
 class RequestThreads(ThreadPool):
-    """Between ``least`` and ``most`` threads; the one that rested last is taken first.
+    """A pool of ``minimum`` to ``maximum`` threads; the last to become idle is used first.
 
-    A thread for each request that may ever be open at once would have most of them
-    rest all day, and some hundred instances would use up a machine's threads. Taken in
-    turn, all would be in use now and then and none could end: so the last one to rest
-    serves next, and those that have rested longest end by themselves.
+    With a fixed pool for the largest number of open requests, most threads would be idle
+    all the time, and some hundred instances would exhaust a machine's threads. If idle
+    threads were used in turn, each would be used now and then and none would end; with the
+    last one used first, those that are idle longest end by themselves.
     """
 
     _threads: list[threading.Thread]
@@ -53,32 +53,32 @@
         self._name = name
         self._lock = threading.Lock()
         self._waiters: list[_Waiter] = []
-        # Threads that have a connection: one that has just started has none yet.
+        # Ids of threads that serve a connection; one that has just started has none yet.
         self._serving: set[int] = set()
         self._backlog: deque[Any] = deque()
         self._stopping = False
         self._full_logged_at = float("-inf")
-        # The server's threads take their connections from this attribute.
+        # The server's threads call this attribute to get their connections.
         self.get = self._next_connection
 
     @property
     def busy(self) -> int:
-        """How many threads have a connection."""
+        """Number of threads that serve a connection."""
         return len(self._serving)
 
     @property
     def qsize(self) -> int:
-        """How many connections wait for a thread."""
+        """Number of connections that wait for a thread."""
         return len(self._backlog)
 
     def start(self) -> None:
-        """Start the least number of threads."""
+        """Start the minimum number of threads."""
         with self._lock:
             for _ in range(self.min):
                 self._start_one()
 
     def put(self, obj: Any) -> None:
-        """Give a connection to a resting thread, else to a new one, else to the next free."""
+        """Assign a connection to an idle thread, else to a new one, else to the next free one."""
         with self._lock:
             if self._waiters:
                 self._waiters.pop().assign(obj)
@@ -90,7 +90,7 @@
                 self._log_full()
 
     def stop(self, timeout: Any = 5) -> None:
-        """End all threads; connections that wait are served first."""
+        """End all threads, after the connections that wait were served."""
         with self._lock:
             self._stopping = True
             for waiter in self._waiters:
@@ -119,7 +119,7 @@
                 return waiter.connection
             with self._lock:
                 if waiter not in self._waiters:
-                    # It was given a connection just when its rest ended.
+                    # A connection was assigned just after the wait timed out.
                     return waiter.connection
                 self._waiters.remove(waiter)
                 if len(self._threads) > self.min:
@@ -133,8 +133,8 @@
         try:
             worker.start()
         except RuntimeError as error:
-            # The machine has no room for a thread: the ones that there are go on, and
-            # the connection waits for one of them. An error here would end the port.
+            # The machine has no thread left. The connection waits for an existing thread;
+            # an error here would end the port's accept loop.
             log_event("thread_refused", level="ERROR", port=self._name, error=error)
             return
         self._threads.append(worker)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/strict_chunks.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/strict_chunks.py
@@ -1,4 +1,4 @@
-"""Reads a chunked request body whose framing has one reading only."""
+"""Reads chunked request bodies and rejects ambiguous framing."""
 
 import re
 from typing import Any
@@ -11,11 +11,11 @@
 
 
 def read_chunks(stream: Any, max_bytes: int) -> bytes:
-    """Return the body that begins at ``stream``, with its trailer consumed.
+    """Return the body that begins at ``stream``, and consume its trailer.
 
-    Raises ValueError for a size that is not plain hexadecimal digits or a chunk
-    without its end, `MaxSizeExceeded` beyond ``max_bytes``. The server's own
-    reader takes ``0x5``, ``+5`` and ``1_0`` as sizes.
+    Raises ValueError for a size that is not plain hexadecimal digits or a chunk that does
+    not end after its size, and `MaxSizeExceeded` beyond ``max_bytes``. The server's own
+    reader accepts ``0x5``, ``+5`` and ``1_0`` as sizes.
     """
     body = bytearray()
     while size := _parse_size(_read_line(stream)):
@@ -23,7 +23,7 @@
             raise MaxSizeExceeded
         body += _read_exactly(stream, size)
         if stream.read(len(_CRLF)) != _CRLF:
-            raise ValueError("a chunk does not end where its size says")
+            raise ValueError("a chunk does not end after its size")
     while _read_line(stream):
         pass
     return bytes(body)
@@ -39,7 +39,7 @@
 def _read_line(stream: Any) -> bytes:
     line: bytes = stream.readline(_MAX_LINE_BYTES)
     if not line.endswith(_CRLF):
-        raise ValueError("a line of a chunked body has no end")
+        raise ValueError("a line of a chunked body is too long or incomplete")
     return line[: -len(_CRLF)]
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/strict_headers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/strict_headers.py
@@ -1,4 +1,4 @@
-"""Refuses request heads whose end two readers could place differently."""
+"""Rejects request heads whose framing two parsers could read differently."""
 
 import re
 from typing import Any
@@ -10,8 +10,8 @@
 _DIGITS = re.compile(rb"[0-9]{1,15}")
 _CONTENT_LENGTH = b"Content-Length"
 _TRANSFER_ENCODING = b"Transfer-Encoding"
-# Two of these, or a pair that differs, would be read one way here and another
-# way by an upstream: the rest of one request would be run as a second one.
+# If one of these came twice, this server and an upstream could use different values, and
+# the upstream would run the rest of one request as a second one.
 _ONLY_ONCE = frozenset({_CONTENT_LENGTH, _TRANSFER_ENCODING, b"Host"})
 
 
@@ -23,7 +23,7 @@
 
 
 class _UnfoldedLines:
-    """Refuses continuation lines, which the server's reader takes for the whole value."""
+    """Rejects continuation lines, which the server's reader takes as the whole value."""
 
     def __init__(self, stream: Any) -> None:
         self._stream = stream
@@ -38,9 +38,9 @@
 class StrictHeaderReader(HeaderReader):
     """Raises ValueError, which the server answers with 400, for an ambiguous head.
 
-    The server's own reader takes a length beside chunks, a space before the
-    colon, and a length with a sign. Each lets a caller hide a request inside the
-    body of another one.
+    The server's own reader accepts a length together with chunks, a space before the
+    colon, and a length with a sign. Each allows request smuggling: a caller hides a
+    request in the body of another one.
     """
 
     def __call__(
@@ -64,7 +64,7 @@
     length = headers.get(_CONTENT_LENGTH)
     encoding = headers.get(_TRANSFER_ENCODING)
     if length is not None and encoding is not None:
-        raise ValueError("both Content-Length and Transfer-Encoding")
+        raise ValueError("both Content-Length and Transfer-Encoding are present")
     if length is not None and not _DIGITS.fullmatch(length):
         raise ValueError("Content-Length is not a number")
     if encoding is not None and encoding.lower() != b"chunked":
