--- a/packages/redwingscale-daemon/tests/unit/ingress/test_request_threads.py
+++ b/packages/redwingscale-daemon/tests/unit/ingress/test_request_threads.py
@@ -1,4 +1,4 @@
-"""A port's threads: as many as its callers need, never more than its bound."""
+"""The threads of a port follow its load, up to a bound."""
 
 import http.client
 import threading
@@ -13,7 +13,7 @@
 
 
 class Port:
-    """Requests for /wait are open until ``release``; /now is answered or refused at once."""
+    """A port: requests for /wait are open until ``release``, /now is answered at once."""
 
     def __init__(self, most=MOST):
         self.release = threading.Event()
@@ -36,13 +36,13 @@
         connection.request("GET", target)
         return connection
 
-    def wait_for(self, count):
-        """Return connections whose requests have all been read and are open."""
+    def open_requests(self, count):
+        """Return connections whose requests were all read and are still open."""
         sent = [self.send("/wait") for _ in range(count)]
         assert all(self.arrived.acquire(timeout=WAIT_SECONDS) for _ in range(count))
         return sent
 
-    def ask(self):
+    def request_status(self):
         return self.send("/now").getresponse().status
 
 
@@ -54,65 +54,69 @@
     made.server.stop()
 
 
-def threads():
+def count_threads():
     return sum(1 for thread in threading.enumerate() if thread.name.startswith("test-"))
 
 
-def until(condition):
+def wait_until(condition):
     end = time.monotonic() + WAIT_SECONDS
     while not condition() and time.monotonic() < end:
         time.sleep(0.01)
     return condition()
 
 
-def test_a_burst_up_to_the_bound_is_answered_whole(port):
-    sent = port.wait_for(MOST - REFUSING)
+def test_burst_up_to_the_bound_is_answered(port):
+    sent = port.open_requests(MOST - REFUSING)
     port.release.set()
     assert [one.getresponse().read() for one in sent] == [b"whole"] * len(sent)
 
 
-def test_beyond_the_bound_callers_are_refused_at_once(port):
-    # Callers saw nothing at all: every thread carried a stream, their requests lay
-    # unread in the queue, and they left without knowing whether they had run.
-    sent = port.wait_for(MOST - REFUSING)
-    assert [port.ask() for _ in range(20)] == [503] * 20
+def test_requests_beyond_the_bound_are_refused_at_once(port):
+    """Guards against requests that stay unread in the queue while all threads serve streams.
+
+    Their callers time out without knowing whether the request has run.
+    """
+    sent = port.open_requests(MOST - REFUSING)
+    assert [port.request_status() for _ in range(20)] == [503] * 20
     port.release.set()
     assert [one.getresponse().status for one in sent] == [200] * len(sent)
-    assert until(lambda: not port.server.crowded)
-    assert port.ask() == 200
+    assert wait_until(lambda: not port.server.crowded)
+    assert port.request_status() == 200
 
 
-def test_a_port_that_has_just_started_is_not_crowded(monkeypatch):
-    """Guards against refusals by a port whose threads have not begun to wait yet."""
-    held = threading.Event()
+def test_port_that_has_just_started_is_not_crowded(monkeypatch):
+    """Guards against refusals by a port whose threads do not wait for connections yet."""
+    release = threading.Event()
     begin = request_threads.RequestThreads._next_connection
 
     def begin_late(threads):
-        held.wait(WAIT_SECONDS)
+        release.wait(WAIT_SECONDS)
         return begin(threads)
 
     monkeypatch.setattr(request_threads.RequestThreads, "_next_connection", begin_late)
     port = Port(most=3)
     assert not port.server.crowded
-    held.set()
-    assert port.ask() == 200
+    release.set()
+    assert port.request_status() == 200
     port.server.stop()
 
 
 def test_idle_threads_end(port, monkeypatch):
     monkeypatch.setattr(request_threads, "IDLE_SECONDS", 0.05)
-    sent = port.wait_for(MOST - REFUSING)
+    sent = port.open_requests(MOST - REFUSING)
     port.release.set()
     assert [one.getresponse().status for one in sent] == [200] * len(sent)
-    # One more is the thread that accepts connections.
-    assert until(lambda: threads() <= 3)
-    assert port.ask() == 200
+    # Two of the pool, and the thread that accepts connections.
+    assert wait_until(lambda: count_threads() <= 3)
+    assert port.request_status() == 200
+
 
+def test_port_that_cannot_start_a_thread_keeps_serving(port, monkeypatch):
+    """Guards against an accept loop that ends when the machine has no thread left.
 
-def test_a_port_without_room_for_a_thread_goes_on(port, monkeypatch):
-    # The machine had no thread left: the error ended the port's accept loop, and the
-    # instance answered nobody any more while it still counted as ready.
-    held = port.wait_for(2)
+    The instance would answer no request and still report that it is ready.
+    """
+    sent = port.open_requests(2)
 
     def refuse(_thread):
         raise RuntimeError("can't start new thread")
@@ -120,13 +124,13 @@
     monkeypatch.setattr(request_threads.WorkerThread, "start", refuse)
     waiting = port.send("/now")
     port.release.set()
-    assert [one.getresponse().status for one in held] == [200, 200]
+    assert [one.getresponse().status for one in sent] == [200, 200]
     assert waiting.getresponse().status == 200
 
 
-def test_stop_answers_what_waits_for_a_thread():
+def test_stop_answers_open_requests():
     port = Port(most=3)
-    open_ = port.wait_for(1)
+    open_ = port.open_requests(1)
     threading.Timer(0.2, port.release.set).start()
     port.server.stop(WAIT_SECONDS)
     assert open_[0].getresponse().status == 200
--- a/packages/redwingscale-daemon/tests/unit/ingress/test_strict_framing.py
+++ b/packages/redwingscale-daemon/tests/unit/ingress/test_strict_framing.py
@@ -1,4 +1,4 @@
-"""Requests whose framing can be read two ways never reach an upstream."""
+"""Requests with ambiguous framing are rejected before they reach an upstream."""
 
 import io
 
@@ -22,13 +22,16 @@
 
 @pytest.mark.parametrize("head", AMBIGUOUS_HEADS)
 def test_ambiguous_head_is_refused(head):
-    # A caller hides a second request in the body of the first: the instance takes
-    # one framing header, the upstream the other, and runs what nobody has sent.
+    """Guards against request smuggling.
+
+    The instance uses one framing header, the upstream the other one, and the upstream runs
+    a request that was hidden in the body of the first.
+    """
     with pytest.raises(ValueError):
         StrictHeaderReader()(io.BytesIO(head), {})
 
 
-def test_proper_head_is_read():
+def test_valid_head_is_read():
     head = b"Host: a.example\r\nX-One: 1\r\nContent-Length: 4\r\n\r\n"
     headers = StrictHeaderReader()(io.BytesIO(head), {})
     assert headers == {b"Host": b"a.example", b"X-One": b"1", b"Content-Length": b"4"}
@@ -42,12 +45,15 @@
 
 @pytest.mark.parametrize("size", [b"0x3", b"+3", b"-3", b"1_0", b"", b"3 3"])
 def test_chunk_size_that_is_not_hexadecimal_is_refused(size):
-    # One reader takes "0x3" as 3, another as 0: the rest is a request to one of them.
+    """Guards against a size such as 0x3, which one parser reads as 3 and another as 0.
+
+    The second one would read the rest of the body as a request.
+    """
     with pytest.raises(ValueError, match="size"):
         read_chunks(io.BytesIO(size + b"\r\nabc\r\n0\r\n\r\n"), 100)
 
 
-def test_chunk_that_is_longer_than_its_size_is_refused():
+def test_chunk_longer_than_its_size_is_refused():
     with pytest.raises(ValueError, match="does not end"):
         read_chunks(io.BytesIO(b"2\r\nabc\r\n0\r\n\r\n"), 100)
 
