--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Names, formats and calls of the users' platform; nothing here decides."""
+"""Names, formats and calls of the users' platform; no decisions are made here."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/configuration.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the platform's store keeps it."""
+"""Decodes the operators' configuration in the platform's store."""
 
 import msgspec
 
@@ -17,7 +17,7 @@
     "unsafe": Idempotency.AT_MOST_ONCE,
     "streaming": Idempotency.STREAM,
 }
-_UNIT_OF_TOKENS = "token_stream"
+_TOKEN_UNIT = "token_stream"
 
 
 class _Model(msgspec.Struct, rename="pascal"):
@@ -36,7 +36,7 @@
     models: list[_Model] = []
     weights_mb: float = 0.0
     adapter_slots: int = 0
-    # The rate of loads from the weight store over all upstreams, not of this one.
+    # Loads a second from the weight store over all upstreams, not for one upstream.
     loads_per_s: float = 1.0
 
 
@@ -64,7 +64,7 @@
     max_attempts: int = 1
     resumable: bool = False
     gap_target_ms: float = 0.0
-    # Callers need no key.
+    # Callers need no API key.
     public: bool = False
 
 
@@ -72,10 +72,10 @@
     name: str
     api_keys: list[str]
     priority: int = 0
-    # Counts requests unless it names tokens.
+    # Limits requests unless this is ``token_stream``.
     unit: str = ""
     plain_tokens: float = 0.0
-    # 0 for no limit.
+    # 0 means no limit.
     rate_per_s: float = 0.0
     burst: float = 0.0
 
@@ -92,7 +92,7 @@
     routes: list[_Route]
     services: list[_Service]
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    # Absent where callers need no keys.
+    # Absent if callers need no API keys.
     tenants: list[_Tenant] | None = None
 
 
@@ -121,19 +121,21 @@
         for digest in map(key_digest, tenant.api_keys):
             if workspaces_by_digest.setdefault(digest, workspace).name != tenant.name:
                 other = workspaces_by_digest[digest].name
-                raise msgspec.ValidationError(f"{other} and {tenant.name} share a key")
+                raise msgspec.ValidationError(
+                    f"workspaces {other} and {tenant.name} have the same API key"
+                )
     return WorkspaceKeys(workspaces_by_digest)
 
 
 def _limit(tenant: _Tenant) -> UseLimit | None:
     if tenant.rate_per_s <= 0:
         return None
-    unit = UseUnit.TOKENS if tenant.unit == _UNIT_OF_TOKENS else UseUnit.REQUESTS
+    unit = UseUnit.TOKENS if tenant.unit == _TOKEN_UNIT else UseUnit.REQUESTS
     return UseLimit(unit, tenant.rate_per_s, tenant.burst, tenant.plain_tokens)
 
 
 def _route(route: _Route) -> Route:
-    split = tuple(WeightedService(part.service, part.weight) for part in route.traffic_split)
+    split = tuple(WeightedService(entry.service, entry.weight) for entry in route.traffic_split)
     return Route(
         name=route.name,
         host=route.host.lower(),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/discovery.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Entries that upstreams write about themselves in the platform's store."""
+"""Decodes the entries that upstreams write about themselves in the platform's store."""
 
 import ipaddress
 from typing import Annotated, Literal
@@ -27,24 +27,24 @@
 
 
 class _Entry(msgspec.Struct, rename="pascal"):
-    """Every field without a default is in each entry that an upstream writes.
+    """An upstream's entry; fields without a default are in each entry that an upstream writes.
 
-    Others may write to the same table: an entry that lacks one, or has another type or
-    an unknown state, names no upstream.
+    Others may write to the same table: an entry that lacks such a field, or has a field of
+    another type or an unknown state, is not an upstream's.
     """
 
     service: _Text
     address: str
     zone: _Text
-    # The version of the upstream's software; no decision needs it.
+    # The version of the upstream's software; checked but not used.
     version: _Text
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: Literal["ready", "draining"]
-    # How much longer it is slow after its start; no decision needs it.
+    # How much longer the upstream is slow after its start; checked but not used.
     cold_left_ms: float
-    # How many orders it has accepted; the ledger takes that from its reports.
+    # Number of orders that the upstream has accepted; its reports have the number that is used.
     seq: _Count
-    # When the process started, in Unix milliseconds; the only lower-case field.
+    # Start of the process in Unix milliseconds; the only lower-case field.
     born: int | None = msgspec.field(default=None, name="born")
     models: list[_Model] = []
     at_hand: _AtHand = msgspec.field(default_factory=_AtHand)
@@ -74,7 +74,10 @@
 
 
 def start_id(name: str, started_at_ms: int | None) -> str:
-    """Return the id of one start of the process ``name``."""
+    """Return the upstream id of one start of the process ``name``.
+
+    A process keeps its name when it restarts, so its id contains its start time.
+    """
     return name if started_at_ms is None else f"{name}@{started_at_ms}"
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/engine.py
@@ -1,4 +1,4 @@
-"""Reports of model workers and orders to them, as the users' platform writes them."""
+"""Decodes reports of model workers and encodes orders to them."""
 
 from typing import Any
 
@@ -29,11 +29,11 @@
 class _Report(msgspec.Struct, rename="pascal"):
     models: list[_Model] = []
     busy: bool = False
-    # The number of orders accepted since the start of the process.
+    # Number of orders accepted since the start of the process.
     seq: int = 0
-    # When the process started, in Unix milliseconds; the only lower-case field.
+    # Start of the process in Unix milliseconds; the only lower-case field.
     born: int | None = msgspec.field(default=None, name="born")
-    # Adapters on their way, written MODEL/NAME@VERSION.
+    # Adapters that are loading, written MODEL/NAME@VERSION.
     loading: list[str] = []
 
 
@@ -50,7 +50,7 @@
 
 
 def encode_order(order: Order) -> bytes:
-    """Return the body of ``order``."""
+    """Return ``order`` as a JSON request body."""
     body: dict[str, Any] = {
         "Op": "load" if isinstance(order.action, Load) else "unload",
         "Model": order.action.unit.model,
@@ -64,12 +64,12 @@
 
 
 def order_headers(upstream_name: str) -> dict[str, str]:
-    """Return the headers that let only the process meant take the order."""
+    """Return the headers of an order, by which other processes refuse it."""
     return {"Content-Type": "application/json", names.EXPECTED_UPSTREAM: upstream_name}
 
 
 def order_result(status: int) -> OrderResult:
-    """Return what the status of the answer to an order says."""
+    """Return the result of an order by the status of its answer."""
     return _RESULTS_BY_STATUS.get(status, OrderResult.REFUSED)
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
@@ -1,4 +1,4 @@
-"""Callers' requests and upstreams' answers as the users' platform writes them."""
+"""Reads and writes the headers of requests and answers on the users' platform."""
 
 import math
 from collections.abc import Iterable
@@ -16,8 +16,9 @@
 from redwingscale_daemon._internal.workspaces.keys import key_digest
 
 _MILLISECONDS = 1000.0
-# They concern one connection only (RFC 9110, section 7.6.1); the body is framed anew.
-_ONE_CONNECTION = frozenset(
+# Headers that concern one connection only (RFC 9110, section 7.6.1) or the framing of a body,
+# which is framed again. They are not forwarded.
+_HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -36,7 +37,7 @@
 
 
 def read_terms(request: IngressRequest) -> Terms | str:
-    """Return what the caller's headers say, or what is wrong with them."""
+    """Return the terms in the caller's headers, or an error text if they are malformed."""
     values = {name.lower(): value for name, value in request.headers}
     request_id = values.get(names.REQUEST_ID.lower(), "")
     if not request_id:
@@ -53,7 +54,7 @@
         deadline_seconds=deadline_seconds,
         prompt=prompt,
         last_event=int(last_event) if last_event.isdigit() else None,
-        tokens=_all_tokens(values),
+        tokens=_total_tokens(values),
         key_digest=_key_digest(values),
     )
 
@@ -61,14 +62,14 @@
 def forwarded_headers(
     request: IngressRequest, workspace: str | None = None, *, hide_key: bool = False
 ) -> Headers:
-    """Return the headers that every upstream gets: the caller's, in their order.
+    """Return the headers for every upstream: the caller's in their order, and ``workspace``.
 
-    ``workspace`` is the one of the caller's key, which upstreams do not see where
-    ``hide_key``.
+    ``workspace`` is the name of the workspace of the caller's key. With ``hide_key``, the
+    key itself is removed.
     """
     connection = next((v for n, v in request.headers if n.lower() == "connection"), "")
     named = {token.strip().lower() for token in connection.split(",")}
-    dropped = _ONE_CONNECTION | named | names.STEERING | {names.DEADLINE_MS.lower()}
+    dropped = _HOP_BY_HOP | named | names.STEERING | {names.DEADLINE_MS.lower()}
     if hide_key:
         dropped |= {names.AUTHORIZATION.lower()}
     kept = tuple((name, value) for name, value in request.headers if name.lower() not in dropped)
@@ -82,11 +83,11 @@
     priority: int,
     last_event: int | None,
 ) -> Headers:
-    """Return the headers of one sending to the upstream ``upstream_name``."""
+    """Return the headers of one attempt at the upstream ``upstream_name``."""
     kept = common
     if last_event is not None:
-        resumed = names.LAST_EVENT_ID.lower()
-        kept = tuple(header for header in common if header[0].lower() != resumed)
+        resume_header = names.LAST_EVENT_ID.lower()
+        kept = tuple(header for header in common if header[0].lower() != resume_header)
         kept += ((names.LAST_EVENT_ID, str(last_event)),)
     return (
         *kept,
@@ -96,56 +97,56 @@
     )
 
 
-def response_headers(response: HTTPResponse) -> Headers:
-    """Return the headers of an upstream's answer that the caller gets."""
+def answer_headers(response: HTTPResponse) -> Headers:
+    """Return the headers of an upstream's answer to forward to the caller."""
     return tuple(
         (name, value)
         for name, value in response.headers.items()
-        if name.lower() not in _ONE_CONNECTION
+        if name.lower() not in _HOP_BY_HOP
     )
 
 
-def matches_request(response: HTTPResponse, request_id: str) -> bool:
-    """Return whether an answer belongs to the request."""
+def answers(response: HTTPResponse, request_id: str) -> bool:
+    """Return whether an answer belongs to the request ``request_id``."""
     return bool(response.headers.get(names.REQUEST_ID) == request_id)
 
 
 def is_signed(response: HTTPResponse) -> bool:
-    """Return whether the answer is the upstream's own and in no encoding.
+    """Return whether the answer is the upstream's own and has no content encoding.
 
-    Callers ask for none; what is encoded is not the upstream's body.
+    Callers request no encoding, so an encoded body is not the one that the upstream sent.
     """
     headers = response.headers
     return names.SIGNATURE in headers and "Content-Encoding" not in headers
 
 
 def was_not_run(response: HTTPResponse) -> bool:
-    """Return whether the upstream says that it has not run the request."""
+    """Return whether the upstream states that it has not run the request."""
     return names.NOT_RUN in response.headers or response.status == _MISDIRECTED
 
 
 def is_misdirected(response: HTTPResponse) -> bool:
-    """Return whether the upstream is another one, or lacks the model or adapter."""
+    """Return whether another upstream answered, or this one lacks the model or adapter."""
     return response.status == _MISDIRECTED
 
 
 def is_from_another(response: HTTPResponse, upstream_name: str) -> bool:
-    """Return whether another process than ``upstream_name`` has its address now."""
+    """Return whether a process other than ``upstream_name`` now has its address."""
     answering = response.headers.get(names.ANSWERING_UPSTREAM)
     return response.status == _MISDIRECTED and answering not in (None, upstream_name)
 
 
 def read_backpressure(status: int, headers: HeaderValues) -> Backpressure:
-    """Return what an answer says of its upstream; what is malformed says nothing.
+    """Return the backpressure in an upstream's answer; malformed headers are ignored.
 
-    An answer of another process at the upstream's address must not be passed in.
+    Must not be used for the answer of another process at the upstream's address.
     """
     retry_after = _number(headers, "Retry-After") if status == _UNAVAILABLE else None
     return Backpressure(_number(headers, names.RATE_LIMIT), _leaving(headers), retry_after)
 
 
 def idle_seconds(response: HTTPResponse) -> float | None:
-    """Return how long the connection may be idle, 0 if it closes, None if unsaid."""
+    """Return how long the connection may be idle: 0 if it closes, None if not stated."""
     if response.will_close:
         return 0.0
     for part in _tokens(response.headers.get_all("Keep-Alive", [])):
@@ -156,27 +157,27 @@
 
 
 def _number(headers: HeaderValues, name: str) -> float | None:
-    """Return a number from 0 up, None where there is none."""
-    named = headers.get(name)
-    if named is None:
+    """Return a finite number of at least 0, or None if the header is missing or malformed."""
+    value = headers.get(name)
+    if value is None:
         return None
     try:
-        number = float(named)
+        number = float(value)
     except ValueError:
         number = math.nan
     if math.isfinite(number) and number >= 0:
         return number
-    log_event("header_malformed", level="WARNING", header=name, value=named)
+    log_event("header_malformed", level="WARNING", header=name, value=value)
     return None
 
 
 def _leaving(headers: HeaderValues) -> bool:
-    named = headers.get(names.LEAVING)
-    if named is None:
+    value = headers.get(names.LEAVING)
+    if value is None:
         return False
-    leaving = _LEAVING_VALUES.get(named.strip())
+    leaving = _LEAVING_VALUES.get(value.strip())
     if leaving is None:
-        log_event("header_malformed", level="WARNING", header=names.LEAVING, value=named)
+        log_event("header_malformed", level="WARNING", header=names.LEAVING, value=value)
     return bool(leaving)
 
 
@@ -189,9 +190,9 @@
     return key_digest(key.strip()) if scheme.lower() == names.KEY_SCHEME.lower() else None
 
 
-def _all_tokens(values: dict[str, str]) -> int | None:
-    named = values.get(names.TOKENS.lower())
-    return None if named is None else sum(int(part or 0) for part in named.split(","))
+def _total_tokens(values: dict[str, str]) -> int | None:
+    value = values.get(names.TOKENS.lower())
+    return None if value is None else sum(int(count or 0) for count in value.split(","))
 
 
 def _prompt(values: dict[str, str]) -> Prompt | None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/names.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/names.py
@@ -6,18 +6,18 @@
 MODEL = "X-Redwingscale-Model-Name"
 TOKENS = "X-Redwingscale-Token-Usage"
 PROMPT_PARTS = "X-Redwingscale-Prefix-Hash"
-# The upstream's signature of its answer; the caller checks it.
+# The upstream's signature of its answer, which the caller verifies.
 SIGNATURE = "X-Redwingscale-Response-Seal"
-# The id of the process that answers, on a refusal of a request meant for another one.
+# The name of the process that answers, in its refusal of a request for another process.
 ANSWERING_UPSTREAM = "X-Redwingscale-Instance-Id"
 NOT_RUN = "X-Redwingscale-Not-Executed"
 PRIORITY = "X-Redwingscale-Request-Priority"
 LAST_EVENT_ID = "Last-Event-Id"
-# Requests a second that an upstream takes from all instances together, while it has a limit.
+# Requests a second that an upstream accepts from all instances together; absent without limit.
 RATE_LIMIT = "Server-Limit"
-# "1" in each answer of an upstream that takes no new work.
+# "1" in each answer of an upstream that is leaving and takes no new work.
 LEAVING = "Server-Leaving"
-# The name of the workspace, told to upstreams; a caller's own value counts for nothing.
+# The name of the workspace, sent to upstreams; a value that a caller sends is dropped.
 WORKSPACE = "X-Redwingscale-Tenant-Id"
 AUTHORIZATION = "Authorization"
 KEY_SCHEME = "Bearer"
@@ -26,7 +26,7 @@
 REPORT_PATH = "/api/report"
 ORDER_PATH = "/api/order"
 
-# Headers by which the system steers an upstream; none is taken from a caller.
+# Headers by which an instance controls an upstream; they are never forwarded from a caller.
 STEERING = frozenset(
     name.lower()
     for name in (
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/store_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/store_client.py
@@ -1,4 +1,4 @@
-"""The platform's row store over HTTP."""
+"""HTTP client of the platform's row store."""
 
 import base64
 import binascii
@@ -18,12 +18,12 @@
 _OK = 200
 _GONE = 410
 _PRECONDITION_FAILED = 412
-# Answers that say that nothing was done.
+# Statuses of requests that the store refused without any effect.
 _REFUSED = frozenset({403, 429, 503, 507})
-# An answer takes 4 to 9 ms; a connection that has gone silent is given up after this.
+# An answer usually takes 4 to 9 ms; a silent connection times out after this.
 ANSWER_SECONDS = 0.8
 CONNECT_SECONDS = 0.5
-# What a long poll may be late beyond the wait that it asked for.
+# How much longer than the requested wait the answer to a long poll may take.
 FEED_MARGIN_SECONDS = 0.5
 _MAX_PAGES = 20
 _TIMEOUT = urllib3.Timeout(connect=CONNECT_SECONDS, read=ANSWER_SECONDS)
@@ -46,7 +46,7 @@
 
 
 class StoreClient:
-    """Implements `RowStore`; connections are kept and never retried."""
+    """Implements `RowStore`; connections are reused, and no request is retried."""
 
     def __init__(self, host: str, port: int) -> None:
         self._pool = urllib3.HTTPConnectionPool(
@@ -60,7 +60,7 @@
         """See `RowStore.read`."""
         found: list[StoredRow] = []
         start = ""
-        # That of the first page: what is written between pages may be missing.
+        # The version of the first page: rows written between two pages may be missing.
         version: int | None = None
         for _ in range(_MAX_PAGES):
             page = self._page(table, partition, start)
@@ -68,7 +68,7 @@
             version = page.row_version if version is None else version
             if not page.truncated or not page.rows:
                 return Snapshot(tuple(found), version)
-            # The range begins with its first key: the next one after ours.
+            # The range includes its first key: continue at the next possible one.
             start = page.rows[-1].key + "\x00"
         raise PlatformUnavailable(f"table {table!r} has more than {_MAX_PAGES} pages")
 
@@ -107,7 +107,7 @@
         if status == _GONE:
             raise HistoryGone(target)
         if status != _OK:
-            raise PlatformUnavailable(f"status {status}")
+            raise PlatformUnavailable(f"unexpected status {status}")
         return body
 
     def _send(
@@ -139,7 +139,7 @@
     try:
         return msgspec.json.decode(body, type=_Rows)
     except msgspec.DecodeError as error:
-        raise PlatformUnavailable(f"answer is not rows: {error}") from error
+        raise PlatformUnavailable(f"the answer does not contain rows: {error}") from error
 
 
 def _stored_row(row: _Row) -> StoredRow:
@@ -149,5 +149,5 @@
     try:
         return StoredRow(key, row.row_version, base64.b64decode(row.value, validate=True))
     except binascii.Error:
-        # Whoever decodes the value finds nothing there and says so; the other rows hold.
+        # An empty value: its decoder reports the error, and the other rows stay usable.
         return StoredRow(key, row.row_version, b"")
