--- a/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
+++ b/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""Documents of the users' platform become the product's types."""
+"""Decoding of the users' platform's documents and headers, and encoding of orders."""
 
 import msgspec
 import pytest
@@ -71,7 +71,7 @@
     ]
 
 
-def test_without_a_list_of_workspaces_no_key_is_needed():
+def test_no_key_is_required_without_a_list_of_workspaces():
     assert decoded_with().keys is None
     assert decoded_with(Tenants=[]).keys is not None
 
@@ -85,18 +85,18 @@
         [{"Name": "a", "ApiKeys": ["k-secret"]}, {"Name": "b", "ApiKeys": ["k-secret"]}],
     ],
 )
-def test_list_of_workspaces_that_cannot_be_read_refuses_the_version(tenants):
-    """Guards against a version that lets in fewer or other callers than its author meant."""
+def test_malformed_list_of_workspaces_rejects_the_version(tenants):
+    """Guards against a version that admits fewer or other callers than its author intended."""
     with pytest.raises(msgspec.DecodeError) as raised:
         decoded_with(Tenants=tenants)
     assert "k-secret" not in str(raised.value)
 
 
-@pytest.mark.parametrize(("named", "cost"), [("1460,80", 1540.0), ("1460", 1460.0), (None, 200.0)])
-def test_cost_of_a_request_in_tokens(named, cost):
+@pytest.mark.parametrize(("tokens", "cost"), [("1460,80", 1540.0), ("1460", 1460.0), (None, 200.0)])
+def test_cost_of_a_request_in_tokens(tokens, cost):
     headers = (("X-Redwingscale-Request-Id", "r"),)
-    if named is not None:
-        headers += (("X-Redwingscale-Token-Usage", named),)
+    if tokens is not None:
+        headers += (("X-Redwingscale-Token-Usage", tokens),)
     request = IngressRequest("GET", "/", "a", headers, b"", 0.0, None)
     terms = exchange.read_terms(request)
     assert UseLimit(UseUnit.TOKENS, 1, 1, 200.0).cost(terms.tokens) == cost
@@ -105,8 +105,7 @@
 
 @pytest.mark.parametrize("kind", ["keyed", "new-kind"])
 def test_unknown_kind_of_route_runs_at_most_once(kind):
-    # A kind that a later version brings: taking it as repeatable could run an
-    # entry of a register twice.
+    """Guards against requests of a kind that this version does not know running twice."""
     document = {**DOCUMENT, "Routes": [{**DOCUMENT["Routes"][1], "Kind": kind}]}
     table = configuration.decode_configuration(msgspec.json.encode(document))
     assert table.find("a.example", "/q/").idempotency is Idempotency.AT_MOST_ONCE
@@ -131,7 +130,7 @@
     "document",
     [b"{", b"\xff\xfe", b"[]", b'{"Service":"s"}', b'{"Service":"s","Address":"x","Zone":"z"}'],
 )
-def test_bad_upstream_entry_is_refused(document):
+def test_malformed_upstream_entry_is_rejected(document):
     with pytest.raises(msgspec.DecodeError):
         discovery.decode_upstream("i-1", 1, document)
 
@@ -143,9 +142,11 @@
 
 
 @pytest.mark.parametrize("field", sorted(ENTRY))
-def test_entry_that_lacks_a_field_names_no_upstream(field):
-    # Another writer's entry would get requests: an unknown address, or a process that
-    # takes no new work because its state was never told.
+def test_entry_that_lacks_a_field_is_rejected(field):
+    """Guards against requests sent by an entry of another writer.
+
+    Its address may be no upstream's, or its process may take no new work without saying so.
+    """
     lacking = {name: value for name, value in ENTRY.items() if name != field}
     with pytest.raises(msgspec.DecodeError):
         discovery.decode_upstream("i-1", 1, msgspec.json.encode(lacking))
@@ -161,12 +162,12 @@
         ("Address", "10.0.0.9:0"), ("Address", "10.0.0.9:70000"), ("Address", "10.0.0:80"),
     ],
 )  # fmt: skip
-def test_entry_with_a_wrong_value_names_no_upstream(field, value):
+def test_entry_with_an_invalid_value_is_rejected(field, value):
     with pytest.raises(msgspec.DecodeError):
         discovery.decode_upstream("i-1", 1, msgspec.json.encode({**ENTRY, field: value}))
 
 
-def test_starts_of_one_process_are_two_upstreams():
+def test_two_starts_of_a_process_are_two_upstreams():
     starts = [
         discovery.decode_upstream("i-1", version, msgspec.json.encode({**ENTRY, "born": born}))
         for version, born in ((1, 1700000000000), (2, 1700000005000))
@@ -227,13 +228,15 @@
         ),
     ],
 )
-def test_malformed_headers_are_named(headers):
+def test_malformed_headers_return_an_error_text(headers):
     assert isinstance(exchange.read_terms(request(*headers)), str)
 
 
-def test_headers_that_steer_upstreams_are_not_taken_from_callers():
-    # A caller names a worker's reserved place or another run's memory; the
-    # upstream would take it as the system's word.
+def test_control_headers_of_callers_are_not_forwarded():
+    """Guards against a caller that uses a worker's reservation or another run's memory.
+
+    The upstream would trust these headers as the instance's own.
+    """
     sent = request(
         ("X-Redwingscale-Request-Id", "r"),
         ("X-Redwingscale-Hold-Request", "h"),
@@ -252,7 +255,7 @@
     )
 
 
-def test_a_continued_stream_names_its_last_event_once():
-    headers = exchange.attempt_headers((("Last-Event-Id", "3"),), "i-1", 1.5, 2, 7)
+def test_resumed_stream_has_one_last_event_header():
+    headers = exchange.sending_headers((("Last-Event-Id", "3"),), "i-1", 1.5, 2, 7)
     assert [value for name, value in headers if name == "Last-Event-Id"] == ["7"]
     assert ("X-Redwingscale-Deadline-Ms", "1500") in headers
--- a/packages/redwingscale-daemon/tests/unit/platform/test_store_client.py
+++ b/packages/redwingscale-daemon/tests/unit/platform/test_store_client.py
@@ -1,4 +1,4 @@
-"""A table that is read in several pages."""
+"""Reads of a table in several pages."""
 
 import pytest
 from redwingscale_daemon._internal.platform.store_client import StoreClient
@@ -6,7 +6,7 @@
 
 @pytest.fixture
 def client(monkeypatch):
-    """A client whose store writes a row between the two pages of a table."""
+    """A client of a store in which a row is written between the two pages of a table."""
     pages = {
         "": b'{"Rows": [{"Key": "a", "RowVersion": 3}], "Truncated": true, "RowVersion": 7}',
         "a\x00": b'{"Rows": [{"Key": "b", "RowVersion": 8}], "RowVersion": 8}',
@@ -17,9 +17,11 @@
     return made
 
 
-def test_table_in_pages_is_as_old_as_its_first_page(client):
-    # A row of the first page is dropped while the second one is read. Changes after the
-    # second page's version don't tell that: an upstream that had left would be used on.
+def test_snapshot_has_the_version_of_its_first_page(client):
+    """Guards against an upstream that is used after its row was deleted between two pages.
+
+    The changes after the second page's version do not contain the deletion.
+    """
     snapshot = client.read("servers", "")
     assert [row.key.key for row in snapshot.rows] == ["a", "b"]
     assert snapshot.version == 7
