--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/ingress_settings.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/ingress_settings.py
@@ -7,7 +7,7 @@
 from redwingscale_common.utils.jsontext import read_json_file
 from redwingscale_common.utils.schemas import schema_findings
 
-MARK = "ingress"
+SECTION = "ingress"
 
 
 class Endpoint(NamedTuple):
@@ -86,9 +86,9 @@
 )
 INGRESS_SCHEMA: dict[str, Any] = {
     "type": "object",
-    "required": [MARK],
+    "required": [SECTION],
     "properties": {
-        MARK: {
+        SECTION: {
             "type": "object",
             "required": list(_REQUIRED),
             "additionalProperties": False,
@@ -126,14 +126,14 @@
 DEFAULT_LEAVE_MS = 2000
 DEFAULT_CONFIGURATION_MS = 2000
 # Without a word, as good as any other.
-UNKNOWN_MACHINE = Machine(cores=1.0, link_mbps=1000.0)
+DEFAULT_MACHINE = Machine(cores=1.0, link_mbps=1000.0)
 _MILLISECONDS = 1000.0
 
 
 def is_ingress(path: Path) -> bool:
     """Return whether ``path`` holds settings of this kind; raise `CheckFailed`."""
     value = read_json_file(path)
-    return isinstance(value, dict) and MARK in value
+    return isinstance(value, dict) and SECTION in value
 
 
 def load_ingress_settings(path: Path) -> IngressSettings:
@@ -142,7 +142,7 @@
     findings = schema_findings(value, INGRESS_SCHEMA)
     if findings:
         raise CheckFailed.from_findings(str(path), findings)
-    return _build(value[MARK])
+    return _build(value[SECTION])
 
 
 def _build(value: dict[str, Any]) -> IngressSettings:
@@ -176,7 +176,7 @@
 
 def _machine(value: dict[str, float] | None) -> Machine:
     if value is None:
-        return UNKNOWN_MACHINE
+        return DEFAULT_MACHINE
     return Machine(value["processor_share"] * value["processor_speed"], value["link_mbps"])
 
 
