--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon's settings: schema, checks, typed form."""
+"""The daemon's settings: JSON Schema, checks and typed classes."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/ingress_settings.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/ingress_settings.py
@@ -7,6 +7,7 @@
 from redwingscale_common.utils.jsontext import read_json_file
 from redwingscale_common.utils.schemas import schema_findings
 
+# The key of these settings in the settings file.
 SECTION = "ingress"
 
 
@@ -18,11 +19,15 @@
 
 
 class Bounds(NamedTuple):
-    """What the deployment asks of the system; seconds.
-
-    New work stays away from an upstream ``leave`` after the store knows that it leaves;
-    a configuration is in force everywhere ``configuration`` after the store has it. All
-    instances together may let in ``use_slack`` units beyond a workspace's limit.
+    """Requirements of the deployment; times are in seconds.
+
+    In any ``repeat_window``, a service's repeats at all instances stay under ``repeat_ratio`` times
+    its requests plus ``repeat_slack``. ``order_quiet`` is the handover pause between the
+    orders of two leaders. Open requests have ``stop_grace`` to end when an instance stops.
+    The limit on loads from the weight store applies to each ``load_window``. An upstream
+    gets no new work ``leave`` after the store has its state as leaving, and a configuration
+    is in force at all instances ``configuration`` after the store has it. All instances
+    together may admit ``use_slack`` units beyond a workspace's limit.
     """
 
     repeat_ratio: float
@@ -37,14 +42,14 @@
 
 
 class Machine(NamedTuple):
-    """What the instance may use: cores of the usual speed, and megabits a second."""
+    """What the instance may use: cores of standard speed, and megabits a second."""
 
     cores: float
     link_mbps: float
 
 
 class IngressSettings(NamedTuple):
-    """Everything that such an instance reads at its start."""
+    """All settings of an instance whose requests are routed by host and path."""
 
     instance: str
     failure_domain: str
@@ -119,25 +124,25 @@
         }
     },
 }
-# Streams and waiting requests hold a thread each; an instance has some 20 of them,
-# three times that in a burst, and twice that again when its neighbour is lost.
+# Each stream and each waiting request needs a thread. An instance has about 20 of them, three
+# times as many in a burst, and twice that number again after another instance is lost.
 DEFAULT_REQUEST_THREADS = 160
 DEFAULT_METRICS_PORT = 9464
 DEFAULT_LEAVE_MS = 2000
 DEFAULT_CONFIGURATION_MS = 2000
-# Without a word, as good as any other.
+# Without `machine` in the settings, an instance counts as able to lead like any other.
 DEFAULT_MACHINE = Machine(cores=1.0, link_mbps=1000.0)
 _MILLISECONDS = 1000.0
 
 
 def is_ingress(path: Path) -> bool:
-    """Return whether ``path`` holds settings of this kind; raise `CheckFailed`."""
+    """Return whether ``path`` has an ingress section; raise `CheckFailed` if unreadable."""
     value = read_json_file(path)
     return isinstance(value, dict) and SECTION in value
 
 
 def load_ingress_settings(path: Path) -> IngressSettings:
-    """Return the settings in ``path``; raise `CheckFailed` with every finding."""
+    """Return the settings in ``path``; raise `CheckFailed` with all findings."""
     value = read_json_file(path)
     findings = schema_findings(value, INGRESS_SCHEMA)
     if findings:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/load.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/load.py
@@ -1,4 +1,4 @@
-"""Reads, checks and types the settings file."""
+"""Reads and checks the settings file, and builds the typed settings."""
 
 from collections.abc import Iterator, Mapping
 from pathlib import Path
@@ -28,11 +28,12 @@
 )
 
 DEFAULT_PLATFORM_TIMEOUT_SECONDS = 2.0
+# A lease must last for this many renewal intervals, so that one lost renewal does not end it.
 LEASE_RENEWALS_IN_LEASE = 2
 
 
 def load_settings(path: Path) -> Settings:
-    """Return the settings in ``path``; raise `CheckFailed` with every finding."""
+    """Return the settings in ``path``; raise `CheckFailed` with all findings."""
     value = read_json_file(path)
     findings = schema_findings(value, SETTINGS_SCHEMA) or list(_relation_findings(value))
     if findings:
@@ -46,7 +47,7 @@
         yield Finding(
             "$.timing.lease_renewal",
             "is more than half of the lease",
-            "one lost renewal would cost the lease",
+            "one lost renewal would end the lease",
         )
     if not value["platform"]["url"].startswith(("http://", "https://")):
         yield Finding("$.platform.url", "is not an http or https URL")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/schema.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/schema.py
@@ -1,4 +1,4 @@
-"""The JSON Schema of the settings and the values of what it leaves optional."""
+"""The JSON Schema of the settings, and the defaults of optional ones."""
 
 from typing import Any
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/settings.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/settings/settings.py
@@ -1,10 +1,10 @@
-"""The typed settings of one instance."""
+"""Typed settings of one instance."""
 
 from typing import NamedTuple
 
 
 class InstanceSettings(NamedTuple):
-    """Who this instance is and where it runs."""
+    """The id of this instance, and where it runs."""
 
     id: str
     failure_domain: str
@@ -12,14 +12,14 @@
 
 
 class AddressSettings(NamedTuple):
-    """A TCP address to listen on; port 0 takes a free one."""
+    """A TCP address to listen on; port 0 selects a free one."""
 
     host: str
     port: int
 
 
 class OperatorsSettings(NamedTuple):
-    """The operators' port and the SHA-256 of its bearer token."""
+    """The address of the operators' port, and the SHA-256 of its bearer token."""
 
     host: str
     port: int
@@ -27,11 +27,11 @@
 
 
 class PeersSettings(NamedTuple):
-    """The port for other instances and the key that all instances share.
+    """The address of the port for other instances, and the key that all instances share.
 
-    ``seeds`` are ``tcp://HOST:PORT`` of peers of the own failure domain, for a
-    start while the platform cannot be reached. ``url`` is where peers reach
-    this instance, when it is not where it listens.
+    ``seeds`` are URLs ``tcp://HOST:PORT`` of peers in the same failure domain, for a start
+    while the platform is unreachable. ``url`` is the URL for peers if it differs from the
+    address on which this instance listens.
     """
 
     host: str
@@ -42,14 +42,14 @@
 
 
 class PlatformSettings(NamedTuple):
-    """Where the platform's service answers, and how long to wait for it."""
+    """The URL of the platform's service, and the timeout of its answers."""
 
     url: str
     timeout_seconds: float
 
 
 class Limits(NamedTuple):
-    """Bounds of what one instance takes on; claims are kept for their retention."""
+    """Bounds of one instance's work, and the retention time of claims."""
 
     request_threads: int
     queue_length: int
@@ -59,7 +59,7 @@
 
 
 class Timing(NamedTuple):
-    """Intervals and waits, in seconds."""
+    """Intervals and timeouts in seconds."""
 
     configuration_poll: float
     member_poll: float
@@ -76,14 +76,14 @@
 
 
 class TelemetrySettings(NamedTuple):
-    """Level of logs; OTLP endpoint, empty for none."""
+    """The log level, and the OTLP endpoint (empty for none)."""
 
     log_level: str
     otlp_endpoint: str
 
 
 class Settings(NamedTuple):
-    """Everything an instance reads at its start."""
+    """All settings of an instance."""
 
     instance: InstanceSettings
     callers: AddressSettings
