--- a/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
+++ b/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("kind", ["keyed", "new-kind"])
 def test_unknown_kind_of_route_runs_at_most_once(kind):
-    """Guards against requests of a kind that this version does not know running twice."""
+    """Guards against a request running twice because a later version introduced its kind."""
     document = {**DOCUMENT, "Routes": [{**DOCUMENT["Routes"][1], "Kind": kind}]}
     table = configuration.decode_configuration(msgspec.json.encode(document))
     assert table.find("a.example", "/q/").idempotency is Idempotency.AT_MOST_ONCE
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("field", sorted(ENTRY))
 def test_entry_that_lacks_a_field_is_rejected(field):
-    """Guards against requests sent by an entry of another writer.
+    """Guards against requests to an upstream from another writer's entry.
 
     Its address may be no upstream's, or its process may take no new work without saying so.
     """
