--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
@@ -69,7 +69,7 @@
     """
     connection = next((v for n, v in request.headers if n.lower() == "connection"), "")
     named = {token.strip().lower() for token in connection.split(",")}
-    dropped = _HOP_BY_HOP | named | names.STEERING | {names.DEADLINE_MS.lower()}
+    dropped = _HOP_BY_HOP | named | names.CONTROL_HEADERS | {names.DEADLINE_MS.lower()}
     if hide_key:
         dropped |= {names.AUTHORIZATION.lower()}
     kept = tuple((name, value) for name, value in request.headers if name.lower() not in dropped)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/names.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/names.py
@@ -27,7 +27,7 @@
 ORDER_PATH = "/api/order"
 
 # Headers by which an instance controls an upstream; they are never forwarded from a caller.
-STEERING = frozenset(
+CONTROL_HEADERS = frozenset(
     name.lower()
     for name in (
         EXPECTED_UPSTREAM,
