--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
@@ -100,9 +100,7 @@
 def answer_headers(response: HTTPResponse) -> Headers:
     """Return the headers of an upstream's answer to forward to the caller."""
     return tuple(
-        (name, value)
-        for name, value in response.headers.items()
-        if name.lower() not in _HOP_BY_HOP
+        (name, value) for name, value in response.headers.items() if name.lower() not in _HOP_BY_HOP
     )
 
 
