--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -146,8 +146,8 @@
                 call.attempts.failure = FailedResponse(response.status, headers, body)
             return False
         if unsigned:
-            raise _lost("the answer bears no signature")
-        headers = self._parts.dialect.answer_headers(response)
+            raise _failure_refusal("the response is not signed")
+        headers = self._parts.dialect.response_headers(response)
         call.reply.send(response.status, headers, body)
         return True
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -116,10 +116,10 @@
         except Refusal as refusal:
             if call is not None and refusal.run is RunState.NOT_RUN:
                 call.permit.refund()
-            self._ended(request, terms, call, refusal)
+            self._log_end(request, terms, call, refusal)
             self._refuse(refusal, reply)
         except CallerLeft:
-            if call is not None and not call.attempts.sendings:
+            if call is not None and not call.attempts.count:
                 call.permit.refund()
             self._metrics.ended(request, "caller_left")
             log_event("caller_left", request=terms.request_id, route=_route_name(call))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -209,7 +209,7 @@
             return False
         if call.reply.started:
             raise Refusal(502, "stream_broken", f"status {status}", run=RunState.RUN)
-        call.reply.send(status, self._parts.dialect.answer_headers(answering.response), body)
+        call.reply.send(status, self._parts.dialect.response_headers(answering.response), body)
         return True
 
     def _prepare_retry(self, call: Call, outcome: NotRun | Lost) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/platform/exchange.py
@@ -97,14 +97,14 @@
     )
 
 
-def answer_headers(response: HTTPResponse) -> Headers:
+def response_headers(response: HTTPResponse) -> Headers:
     """Return the headers of an upstream's answer to forward to the caller."""
     return tuple(
         (name, value) for name, value in response.headers.items() if name.lower() not in _HOP_BY_HOP
     )
 
 
-def answers(response: HTTPResponse, request_id: str) -> bool:
+def matches_request(response: HTTPResponse, request_id: str) -> bool:
     """Return whether an answer belongs to the request ``request_id``."""
     return bool(response.headers.get(names.REQUEST_ID) == request_id)
 
