--- a/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_updates.py
@@ -121,18 +121,18 @@
     monkeypatch.setattr(time, "monotonic", lambda: real() + offset[0])
     schedule = UpdateSchedule()
     held = {f"u{n}": {"a": frozenset()} for n in range(45)}
-    assert len(schedule.residency(held, regular=True)[0]) == 45
+    assert len(schedule.residency(held, periodic=True)[0]) == 45
     offset[0] += 1.1
-    assert schedule.residency(held, regular=True) == ([], False)
+    assert schedule.residency(held, periodic=True) == ([], False)
     held["u7"] = {"a": frozenset({"x"})}
     for _ in range(2):
-        told = schedule.residency(held, regular=False)
+        told = schedule.residency(held, periodic=False)
         assert told == ([ResidencyEntry("u7", {"a": ["x"]})], False)
         offset[0] += 0.4
     offset[0] += 0.5
     # News that may not be sent must not count as having told all.
-    assert not schedule.residency(held, regular=False)[1]
-    entries, residency_complete = schedule.residency(held, regular=True)
+    assert not schedule.residency(held, periodic=False)[1]
+    entries, residency_complete = schedule.residency(held, periodic=True)
     assert (len(entries), residency_complete) == (45, True)
 
 
@@ -140,8 +140,8 @@
     # A worker's order got no answer: what it holds is unknown, and the others must
     # not go on with what was told before.
     schedule = UpdateSchedule()
-    schedule.residency({"u0": {"a": frozenset()}, "u1": {"b": frozenset()}}, regular=True)
-    told = schedule.residency({"u0": {"a": frozenset()}, "u1": None}, regular=False)
+    schedule.residency({"u0": {"a": frozenset()}, "u1": {"b": frozenset()}}, periodic=True)
+    told = schedule.residency({"u0": {"a": frozenset()}, "u1": None}, periodic=False)
     assert told == ([ResidencyEntry("u0", {"a": []})], True)
 
 
@@ -171,7 +171,7 @@
         schedule.request_full()
         unknown = f"i-{step:010x}"
         entries, _ = schedule.residency(
-            held | {unknown: None}, regular=step % 2 == 0, instances=instances
+            held | {unknown: None}, periodic=step % 2 == 0, instances=instances
         )
         told += len(msgspec.msgpack.encode(entries)) * instances
     seconds = 40 * 0.125
@@ -182,10 +182,10 @@
 def test_newcomer_among_few_is_told_at_once():
     schedule = UpdateSchedule()
     held = {"u0": {"a": frozenset()}}
-    schedule.residency(held, regular=True, instances=6)
+    schedule.residency(held, periodic=True, instances=6)
     time.sleep(6 * 0.005)
     schedule.request_full()
-    assert schedule.residency(held, regular=False, instances=6)[1]
+    assert schedule.residency(held, periodic=False, instances=6)[1]
 
 
 def test_first_list_is_told_in_pieces_and_once():
