--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/permit_issuer.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/permit_issuer.py
@@ -12,18 +12,18 @@
 from redwingscale_daemon._internal.fleet.send_permits import MAX_DELAY_SECONDS, PERMIT_SECONDS
 
 # What an instance has told counts for this long without further news of it.
-TOLD_SECONDS = 1.0
+ENTRY_FRESH_SECONDS = 1.0
 # Permits that are saved up while nobody asks.
-MOST_SAVED = 2.0
-SAVED_SECONDS = 0.5
+MIN_CAPACITY_PERMITS = 2.0
+CAPACITY_SECONDS = 0.5
 # Requests just before a limit was advertised count in its first window as well.
-FIRST_LEVEL = -1.5
+INITIAL_LEVEL_PERMITS = -1.5
 # Another order giver may have issued permits until a moment before this one begins.
-QUIET_SECONDS = PERMIT_SECONDS + MAX_DELAY_SECONDS
+HANDOVER_PAUSE_SECONDS = PERMIT_SECONDS + MOST_DELAY_SECONDS
 
 
-class _Told(NamedTuple):
-    at: float
+class _Received(NamedTuple):
+    received_at: float
     entry: RateLimitEntry
 
 
@@ -33,9 +33,9 @@
     def __init__(self, now: float) -> None:
         self.per_second: float | None = None
         self.seen_at = float("-inf")
-        self.level = FIRST_LEVEL
-        self.at = now
-        self.told_by_instance: dict[str, _Told] = {}
+        self.level = INITIAL_LEVEL_PERMITS
+        self.refilled_at = now
+        self.received_by_instance: dict[str, _Received] = {}
         # Whoever was issued to least recently is next.
         self.issued_at_by_instance: dict[str, float] = {}
 
@@ -50,25 +50,25 @@
 
     def __init__(
         self,
-        limited: Callable[[], Collection[str]] = tuple,
-        listed: Callable[[str], bool] = lambda _: True,
+        limited_ids: Callable[[], Collection[str]] = tuple,
+        is_listed: Callable[[str], bool] = lambda _: True,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         # What this instance knows by itself, until it has heard of the others.
-        self._limited = limited
-        self._listed = listed
+        self._limited_ids = limited_ids
+        self._is_listed = is_listed
         self._clock = clock
         self._lock = threading.Lock()
         self._by_id: dict[str, _Bucket] = {}
         # Whether a limit has changed since the last issue.
-        self._changed = False
-        self._begun_at = clock()
+        self._limit_changed = False
+        self._leading_since = clock()
 
     def begin(self) -> None:
         """Forget all: what another order giver has issued is not known."""
         with self._lock:
             self._by_id = {}
-            self._begun_at = self._clock()
+            self._leading_since = self._clock()
 
     def receive(self, instance: str, entries: Iterable[RateLimitEntry]) -> bool:
         """Take what ``instance`` tells; return whether requests wait there, or a limit is new."""
@@ -76,7 +76,7 @@
         waiting, changed = 0, False
         with self._lock:
             for entry in entries:
-                if not self._listed(entry.upstream):
+                if not self._is_listed(entry.upstream):
                     continue
                 bucket = self._by_id.get(entry.upstream)
                 if bucket is None:
@@ -84,9 +84,9 @@
                 if now - entry.age > bucket.seen_at:
                     changed = changed or bucket.per_second != entry.per_second
                     bucket.per_second, bucket.seen_at = entry.per_second, now - entry.age
-                bucket.told_by_instance[instance] = _Told(now, entry)
+                bucket.received_by_instance[instance] = _Received(now, entry)
                 waiting += entry.waiting
-            self._changed = self._changed or changed
+            self._limit_changed = self._limit_changed or changed
         return changed or waiting > 0
 
     def draw(self, upstream_id: str) -> bool:
@@ -94,7 +94,7 @@
         with self._lock:
             bucket = self._by_id.get(upstream_id)
             if bucket is None:
-                return upstream_id not in self._limited()
+                return upstream_id not in self._limited_ids()
             if bucket.per_second is None:
                 return True
             if self._refill(bucket) < 1:
@@ -108,7 +108,7 @@
         With ``all_limits``, and where one has changed, also those without any.
         """
         with self._lock:
-            all_limits, self._changed = all_limits or self._changed, False
+            all_limits, self._limit_changed = all_limits or self._limit_changed, False
             entries = [self._entry(key, bucket) for key, bucket in self._by_id.items()]
         return [entry for entry in entries if all_limits or entry.permits_by_instance]
 
@@ -120,12 +120,14 @@
 
     def _entry(self, upstream_id: str, bucket: _Bucket) -> PermitEntry:
         now = self._clock()
-        told = {
+        entries_by_instance = {
             name: one.entry
-            for name, one in bucket.told_by_instance.items()
-            if now - one.at < TOLD_SECONDS
+            for name, one in bucket.received_by_instance.items()
+            if now - one.received_at < ENTRY_FRESH_SECONDS
         }
-        permits = {} if bucket.per_second is None else self._share(bucket, told, now)
+        permits = (
+            {} if bucket.per_second is None else self._distribute(bucket, entries_by_instance, now)
+        )
         if permits:
             log_event(
                 "permits_issued",
@@ -135,12 +137,12 @@
                 left=round(bucket.level, 2),
                 permits=",".join(f"{name}:{count}" for name, count in permits.items()),
             )
-        waiting = sum(entry.waiting for entry in told.values())
+        waiting = sum(entry.waiting for entry in entries_by_instance.values())
         age = round(now - bucket.seen_at, 3)
         return PermitEntry(upstream_id, bucket.per_second, age, waiting, permits)
 
-    def _share(
-        self, bucket: _Bucket, told: dict[str, RateLimitEntry], now: float
+    def _distribute(
+        self, bucket: _Bucket, entries_by_instance: dict[str, RateLimitEntry], now: float
     ) -> dict[str, int]:
         """Issue to where requests have waited longest, for want of another upstream.
 
@@ -148,36 +150,36 @@
         their answers tell that a limit has ended.
         """
         left = max(0, int(self._refill(bucket)))
-        asking = sorted(
-            (name for name, entry in told.items() if entry.waiting),
-            key=lambda name: told[name].longest_wait,
+        recipients = sorted(
+            (name for name, entry in entries_by_instance.items() if entry.waiting),
+            key=lambda name: entries_by_instance[name].longest_wait,
             reverse=True,
         )
-        if not asking and bucket.level >= MOST_SAVED:
-            asking = sorted(
-                (name for name, entry in told.items() if entry.wanted),
+        if not recipients and bucket.level >= MIN_CAPACITY_PERMITS:
+            recipients = sorted(
+                (name for name, entry in entries_by_instance.items() if entry.wanted),
                 key=lambda name: bucket.issued_at_by_instance.get(name, 0.0),
             )
-        shares: dict[str, int] = {}
-        for name in asking:
+        permits_by_instance: dict[str, int] = {}
+        for name in recipients:
             if not left:
                 break
-            shares[name] = min(left, _most_used(told[name]))
-            left -= shares[name]
-        bucket.level -= sum(shares.values())
-        bucket.issued_at_by_instance.update(dict.fromkeys(shares, now))
-        return shares
+            permits_by_instance[name] = min(left, _usable_permits(entries_by_instance[name]))
+            left -= permits_by_instance[name]
+        bucket.level -= sum(permits_by_instance.values())
+        bucket.issued_at_by_instance.update(dict.fromkeys(permits_by_instance, now))
+        return permits_by_instance
 
     def _refill(self, bucket: _Bucket) -> float:
         now = self._clock()
-        per_second = max(bucket.per_second or 0.0, MIN_PER_SECOND)
-        since = max(bucket.at, self._begun_at + QUIET_SECONDS)
-        most = max(MOST_SAVED, per_second * SAVED_SECONDS)
-        bucket.level = min(most, bucket.level + max(0.0, now - since) * per_second)
-        bucket.at = now
+        per_second = max(bucket.per_second or 0.0, LEAST_PER_SECOND)
+        refill_from = max(bucket.refilled_at, self._leading_since + HANDOVER_PAUSE_SECONDS)
+        capacity = max(MIN_CAPACITY_PERMITS, per_second * CAPACITY_SECONDS)
+        bucket.level = min(capacity, bucket.level + max(0.0, now - refill_from) * per_second)
+        bucket.refilled_at = now
         return bucket.level
 
 
-def _most_used(entry: RateLimitEntry) -> int:
+def _usable_permits(entry: RateLimitEntry) -> int:
     """Return how many permits an instance can use before they are void."""
     return max(1, entry.waiting, round(entry.used * PERMIT_SECONDS))
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_permit_issuer.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_permit_issuer.py
@@ -3,14 +3,14 @@
 import pytest
 from redwingscale_daemon._internal.fleet.rate_limit_messages import RateLimitEntry
 from redwingscale_daemon._internal.swaps.permit_issuer import (
-    FIRST_LEVEL,
-    QUIET_SECONDS,
+    HANDOVER_PAUSE_SECONDS,
+    INITIAL_LEVEL_PERMITS,
     PermitIssuer,
 )
 
 U = "u"
 # At a rate of one a second.
-FIRST_PERMIT_SECONDS = QUIET_SECONDS - FIRST_LEVEL + 1.0
+FIRST_PERMIT_SECONDS = HANDOVER_PAUSE_SECONDS - INITIAL_LEVEL_PERMITS + 1.0
 
 
 @pytest.fixture
@@ -57,7 +57,7 @@
     # Guards against two order givers that issue the same permits at the change.
     issuer.begin()
     issuer.receive("one", told(waiting=3))
-    clock[0] = QUIET_SECONDS
+    clock[0] = HANDOVER_PAUSE_SECONDS
     issuer.receive("one", told(waiting=3))
     assert issued(issuer) == {U: {}}
 
