--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_client.py
@@ -15,13 +15,13 @@
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
 from redwingscale_daemon._internal.swaps.peer_server import PeerRequest, PeerResponse
 
-MOST_PEERS = 32
+MAX_PEERS = 32
 # A peer that is turned away as well is followed by another one.
-MOST_ASKED = 4
-ANSWER_MS = 400
+MAX_QUERIES_PER_STEP = 4
+RESPONSE_TIMEOUT_MS = 400
 # What a peer knows to be in force is told on within this time.
-CURRENT_SECONDS = 1.5
-TABLE_BYTES = 32 << 20
+FRESH_CONFIGURATION_SECONDS = 1.5
+MAX_TABLE_BYTES = 32 << 20
 
 
 class PeerClient:
@@ -39,54 +39,58 @@
         self._learn_leader = learn_leader
         self._own_address = own_address
         # By address, when last named.
-        self._named_at: dict[str, float] = {}
+        self._announced_at: dict[str, float] = {}
         # Not for secrets: it only spreads questions.
         self._random = random.Random()
 
     def remember(self, peers: Iterable[str]) -> None:
         """Remember ``peers``, the newest ones."""
         now = time.monotonic()
-        known = self._named_at | dict.fromkeys(peers, now)
-        known.pop(self._own_address(), None)
-        newest = sorted(known, key=known.__getitem__, reverse=True)[:MOST_PEERS]
-        self._named_at = {address: known[address] for address in newest}
+        announced_at = self._announced_at | dict.fromkeys(peers, now)
+        announced_at.pop(self._own_address(), None)
+        newest = sorted(announced_at, key=announced_at.__getitem__, reverse=True)[:MAX_PEERS]
+        self._announced_at = {address: announced_at[address] for address in newest}
 
     def addresses(self) -> list[str]:
         """Return the addresses of the peers that are remembered."""
-        return list(self._named_at)
+        return list(self._announced_at)
 
     def push(self, address: str, rates: list[RateLimitEntry]) -> None:
         """Tell one peer of rates that have changed, and take its answer."""
-        response = self._ask(address, rates)
+        response = self._query(address, rates)
         if response is not None:
-            self._take(address, response)
+            self._apply(address, response)
 
     def step(self) -> None:
         """Ask until a peer answers that knows what is in force now, if that is needed."""
         if not self._needed():
             return
-        known = self.addresses()
-        for address in self._random.sample(known, min(MOST_ASKED, len(known))):
-            response = self._ask(address)
+        addresses = self.addresses()
+        for address in self._random.sample(addresses, min(MAX_QUERIES_PER_STEP, len(addresses))):
+            response = self._query(address)
             if response is None:
                 continue
-            self._take(address, response)
-            if response.age < CURRENT_SECONDS:
+            self._apply(address, response)
+            if response.age < FRESH_CONFIGURATION_SECONDS:
                 return
 
     def fetch(self, address: str, version: int) -> bool:
         """Ask one peer; return whether a configuration of ``version`` or later is in force."""
-        response = self._ask(address)
+        response = self._query(address)
         if response is not None:
-            self._take(address, response)
+            self._apply(address, response)
         table = self._routes.get()
         return table is not None and table.version >= version
 
-    def _ask(self, address: str, rates: Sequence[RateLimitEntry] = ()) -> PeerResponse | None:
+    def _query(self, address: str, rates: Sequence[RateLimitEntry] = ()) -> PeerResponse | None:
         table = self._routes.get()
         request = PeerRequest(table.version if table else 0, list(rates))
         # Without a resend time it would ask again by itself.
-        options = {"send_timeout": ANSWER_MS, "recv_timeout": ANSWER_MS, "resend_time": -1}
+        options = {
+            "send_timeout": RESPONSE_TIMEOUT_MS,
+            "recv_timeout": RESPONSE_TIMEOUT_MS,
+            "resend_time": -1,
+        }
         try:
             with pynng.Req0(**options) as link:
                 link.dial(f"tcp://{address}", block=False)
@@ -96,7 +100,7 @@
             log_event("peer_silent", peer=address, error=repr(error))
             return None
 
-    def _take(self, address: str, response: PeerResponse) -> None:
+    def _apply(self, address: str, response: PeerResponse) -> None:
         log_event(
             "peer_answered",
             peer=address,
@@ -109,7 +113,7 @@
         if not response.table:
             return
         try:
-            data = zlib.decompressobj().decompress(response.table, TABLE_BYTES)
+            data = zlib.decompressobj().decompress(response.table, MAX_TABLE_BYTES)
             self._routes.offer(decode_table(data))
         except (zlib.error, msgspec.DecodeError) as error:
             log_event("peer_table_invalid", level="WARNING", peer=address, error=repr(error))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_server.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_server.py
@@ -15,7 +15,7 @@
 from redwingscale_daemon._internal.swaps.leader_lease import LeaderRecord
 from redwingscale_daemon._internal.swaps.leader_server import open_port
 
-_RECEIVE_MS = 1000
+_TIMEOUT_MS = 1000
 
 
 class PeerRequest(msgspec.Struct, array_like=True):
@@ -56,16 +56,16 @@
         routes: CurrentRoutes,
         configuration_age: Callable[[], float],
         lease: Callable[[], LeaseState],
-        take_rates: Callable[[list[RateLimitEntry]], None] = lambda _: None,
+        receive_rates: Callable[[list[RateLimitEntry]], None] = lambda _: None,
     ) -> None:
-        self._socket = pynng.Rep0(recv_timeout=_RECEIVE_MS, send_timeout=_RECEIVE_MS)
+        self._socket = pynng.Rep0(recv_timeout=_TIMEOUT_MS, send_timeout=_TIMEOUT_MS)
         self._host = host
         self.port = port
         self._routes = routes
         self._age = configuration_age
         self._lease = lease
-        self._take_rates = take_rates
-        self._packed: tuple[int, bytes] = (0, b"")
+        self._receive_rates = receive_rates
+        self._compressed_table: tuple[int, bytes] = (0, b"")
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="peer-desk", daemon=True)
 
@@ -82,15 +82,15 @@
     def stop(self) -> None:
         """Close the port."""
         self._stopped = True
-        self._thread.join(2 * _RECEIVE_MS / 1000)
+        self._thread.join(2 * _TIMEOUT_MS / 1000)
         self._socket.close()
 
     def _run(self) -> None:
         while not self._stopped:
             try:
                 request = msgspec.msgpack.decode(self._socket.recv(), type=PeerRequest)
-                self._take_rates(request.rates)
-                self._socket.send(msgspec.msgpack.encode(self._answer(request)))
+                self._receive_rates(request.rates)
+                self._socket.send(msgspec.msgpack.encode(self._make_response(request)))
             except pynng.Timeout:
                 continue
             except pynng.Closed:
@@ -98,12 +98,12 @@
             except (msgspec.DecodeError, pynng.NNGException) as error:
                 log_event("peer_question_failed", level="WARNING", error=repr(error))
 
-    def _answer(self, request: PeerRequest) -> PeerResponse:
+    def _make_response(self, request: PeerRequest) -> PeerResponse:
         table = self._routes.get()
         lease = self._lease()
         if table is None:
             return PeerResponse(0, b"", float("inf"), lease.row_version, lease.record)
-        if table.version != self._packed[0]:
-            self._packed = (table.version, zlib.compress(encode_table(table)))
-        newer = self._packed[1] if table.version > request.configuration else b""
+        if table.version != self._compressed_table[0]:
+            self._compressed_table = (table.version, zlib.compress(encode_table(table)))
+        newer = self._compressed_table[1] if table.version > request.configuration else b""
         return PeerResponse(table.version, newer, self._age(), lease.row_version, lease.record)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
@@ -142,7 +142,7 @@
     asker.routes.offer(table(2))
     asker.client.remember([peer.server.address])
     asker.client.step()
-    assert peer.server._packed[0] == 2
+    assert peer.server._compressed_table[0] == 2
     assert asker.givers == [(7, LEADER)]
 
 
