--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limit_gossip.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limit_gossip.py
@@ -15,13 +15,13 @@
 # Peers that each instance tells of what it has just learned; they tell others.
 FANOUT = 4
 # A change is kept for so long, in case the order giver has just been lost.
-KEPT_SECONDS = 1.0
-LOOK_SECONDS = 0.1
+PENDING_SECONDS = 1.0
+CHECK_SECONDS = 0.1
 
-Tell = Callable[[str, list[RateLimitEntry]], None]
+Push = Callable[[str, list[RateLimitEntry]], None]
 
 
-class _Kept(NamedTuple):
+class _Pending(NamedTuple):
     entry: RateLimitEntry
     since: float
 
@@ -43,16 +43,16 @@
         rates: RateLimits,
         peers: Callable[[], Sequence[str]],
         leader_silent: Callable[[], bool],
-        tell: Tell,
+        push: Push,
     ) -> None:
         self._rates = rates
         self._peers = peers
         self._leader_silent = leader_silent
-        self._tell = tell
+        self._push = push
         self._wake = threading.Event()
         self._stopped = False
         # What has changed and was not passed on yet, by upstream.
-        self._kept_by_id: dict[str, _Kept] = {}
+        self._pending_by_id: dict[str, _Pending] = {}
         # Not for secrets: it only spreads messages.
         self._random = random.Random()
         self._thread = threading.Thread(target=self._run, name="rate-gossip", daemon=True)
@@ -70,26 +70,28 @@
 
     def _run(self) -> None:
         while not self._stopped:
-            self._wake.wait(LOOK_SECONDS if self._kept_by_id else None)
+            self._wake.wait(CHECK_SECONDS if self._pending_by_id else None)
             self._wake.clear()
-            self.look(time.monotonic())
+            self.check(time.monotonic())
 
-    def look(self, now: float) -> None:
+    def check(self, now: float) -> None:
         """Pass on what has changed lately, if no order giver is heard."""
-        changed = {entry.upstream: _Kept(entry, now) for entry in self._rates.drain_changed()}
-        kept = self._kept_by_id | changed
-        self._kept_by_id = {key: one for key, one in kept.items() if now - one.since < KEPT_SECONDS}
-        if self._kept_by_id and self._leader_silent():
-            self._pass_on([one.as_of(now) for one in self._kept_by_id.values()])
-            self._kept_by_id = {}
-
-    def _pass_on(self, changed: list[RateLimitEntry]) -> None:
-        known = self._peers()
-        told = self._random.sample(known, min(FANOUT, len(known)))
+        changed = {entry.upstream: _Pending(entry, now) for entry in self._rates.drain_changed()}
+        pending = self._pending_by_id | changed
+        self._pending_by_id = {
+            key: one for key, one in pending.items() if now - one.since < PENDING_SECONDS
+        }
+        if self._pending_by_id and self._leader_silent():
+            self._forward([one.as_of(now) for one in self._pending_by_id.values()])
+            self._pending_by_id = {}
+
+    def _forward(self, changed: list[RateLimitEntry]) -> None:
+        addresses = self._peers()
+        targets = self._random.sample(addresses, min(FANOUT, len(addresses)))
         log_event(
             "rate_limits_passed_on",
             upstreams=",".join(entry.upstream for entry in changed),
-            peers=len(told),
+            peers=len(targets),
         )
-        for address in told:
-            self._tell(address, changed)
+        for address in targets:
+            self._push(address, changed)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
@@ -181,15 +181,15 @@
     gossip = RateLimitGossip(
         rates, lambda: ["peer"], lambda: bool(silent), lambda *message: told.append(message)
     )
-    rates.note_limit("u", 2.0, "answer")
-    gossip.look(0.0)
-    gossip.look(1.1)
+    rates.advertised("u", 2.0, "answer")
+    gossip.check(0.0)
+    gossip.check(1.1)
     silent.append(True)
-    gossip.look(1.2)
+    gossip.check(1.2)
     assert told == []
     silent.clear()
-    rates.note_limit("u", 3.0, "answer")
-    gossip.look(2.0)
+    rates.advertised("u", 3.0, "answer")
+    gossip.check(2.0)
     silent.append(True)
-    gossip.look(2.6)
+    gossip.check(2.6)
     assert [entry.per_second for _, entries in told for entry in entries] == [3.0]
