--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_lease.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_lease.py
@@ -14,7 +14,7 @@
 LEASE_ROW = RowKey("redwingscale", "", "order-giver")
 ABSENT = 0
 # The row as it is now, what comes of it, and a holder that has renewed it meanwhile.
-MOST_CALLS_A_WATCH = 3
+MAX_CALLS_PER_WATCH = 3
 
 
 class LeaderRecord(msgspec.Struct):
@@ -77,13 +77,13 @@
         self._clock = clock
         self._row_version = ABSENT
         # The store's version as of which the row is known, None before the first read.
-        self._known_as_of: int | None = None
-        self._seen_at = clock()
+        self._store_version: int | None = None
+        self._changed_at = clock()
         # The newest version that the holder's news have told, and when first.
-        self._heard = (ABSENT, -math.inf)
+        self._announced_renewal = (ABSENT, -math.inf)
         self._record: LeaderRecord | None = None
         self._valid_until = -math.inf
-        self._silent_until = -math.inf
+        self._pause_until = -math.inf
         self._released = False
         self._fence = 0
 
@@ -100,7 +100,7 @@
     @property
     def succeeds_another(self) -> bool:
         """Whether another process gave the orders before."""
-        return self._silent_until > -math.inf
+        return self._pause_until > -math.inf
 
     def fence(self) -> int | None:
         """Return the fencing number if orders may be sent now, else None.
@@ -109,7 +109,7 @@
         """
         now = self._clock()
         orders_until = self._valid_until - self._timing.lease_seconds + self._timing.order_seconds
-        if now >= orders_until or now < self._silent_until:
+        if now >= orders_until or now < self._pause_until:
             return None
         return self._fence
 
@@ -125,8 +125,8 @@
         moment at which its version was first told: counted from the first read after
         that, the orders of the next giver would begin two seconds later.
         """
-        if row_version > self._heard[0]:
-            self._heard = (row_version, self._clock())
+        if row_version > self._announced_renewal[0]:
+            self._announced_renewal = (row_version, self._clock())
 
     def adopt_record(self, row_version: int, record: LeaderRecord) -> None:
         """Take the row as a peer knows it, where that is newer.
@@ -134,7 +134,7 @@
         An instance that the store turns away finds the next order giver so.
         """
         if not self.is_leader and row_version > self._row_version:
-            self._see(row_version, record)
+            self._observe(row_version, record)
 
     def step(self) -> None:
         """Renew the lease, or read the row and take it when it is due; raise `PlatformError`."""
@@ -145,22 +145,24 @@
         if self._may_take():
             self._take()
 
-    def watch(self, most_seconds: float) -> None:
+    def watch(self, max_seconds: float) -> None:
         """Wait at the store until the row changes, or until it may be taken; take it then.
 
         For an instance that hears no holder, in place of `step`: reads at a fixed rate by
         some hundred instances would be most of what a hand-over asks of the store, and
         find the next holder late. Raises `PlatformError`.
         """
-        end = self._clock() + most_seconds
-        for _ in range(MOST_CALLS_A_WATCH):
-            left = end - self._clock()
-            if left <= 0:
+        end = self._clock() + max_seconds
+        for _ in range(MAX_CALLS_PER_WATCH):
+            seconds_left = end - self._clock()
+            if seconds_left <= 0:
                 return
-            if self._known_as_of is None:
+            if self._store_version is None:
                 self._read()
             else:
-                self._wait_for_change(self._known_as_of, min(left, self._takeable_in()))
+                self._wait_for_change(
+                    self._store_version, min(seconds_left, self._seconds_until_takeable())
+                )
             # Right after the wait: a pause here would give the lease to whichever instance
             # wakes first, a small machine as well as a large one.
             if self._may_take():
@@ -193,7 +195,7 @@
             return
         # Either another instance took the row, or the answer to an own renewal was lost.
         self._read()
-        if self._record is None or not self._mine(self._record):
+        if self._record is None or not self._is_own(self._record):
             self._valid_until = -math.inf
             log_event("giver_lost", level="WARNING", fence=self._fence, reason="row was taken")
 
@@ -202,33 +204,33 @@
             changes = self._store.changes(LEASE_ROW.table, since, seconds)
         except HistoryGone:
             log_event("giver_row_history_gone", row_version=self._row_version)
-            self._known_as_of = None
+            self._store_version = None
             return
-        self._known_as_of = changes.version
-        self._see_rows(row for row in changes.rows if row.key == LEASE_ROW)
+        self._store_version = changes.version
+        self._observe_newest(row for row in changes.rows if row.key == LEASE_ROW)
 
     def _read(self) -> None:
         snapshot = self._store.read(LEASE_ROW.table, LEASE_ROW.partition)
-        self._known_as_of = snapshot.version
-        if not self._see_rows(row for row in snapshot.rows if row.key == LEASE_ROW):
-            self._see(ABSENT, None)
+        self._store_version = snapshot.version
+        if not self._observe_newest(row for row in snapshot.rows if row.key == LEASE_ROW):
+            self._observe(ABSENT, None)
 
-    def _see_rows(self, rows: Iterable[StoredRow]) -> bool:
+    def _observe_newest(self, rows: Iterable[StoredRow]) -> bool:
         """Take the row's newest state; return whether there is one."""
         row = max(rows, key=lambda row: row.version, default=None)
         if row is None:
             return False
         if row.value is None:
-            self._see(ABSENT, None)
+            self._observe(ABSENT, None)
         else:
-            self._see(row.version, _record(row))
+            self._observe(row.version, _record(row))
         return True
 
-    def _see(self, version: int, record: LeaderRecord | None) -> None:
+    def _observe(self, version: int, record: LeaderRecord | None) -> None:
         if version != self._row_version:
             self._row_version = version
-            heard_version, heard_at = self._heard
-            self._seen_at = heard_at if version == heard_version else self._clock()
+            announced_version, announced_at = self._announced_renewal
+            self._changed_at = announced_at if version == announced_version else self._clock()
         if record != self._record:
             log_event("giver_seen", giver=record.instance if record else None, row_version=version)
         self._record = record
@@ -236,26 +238,26 @@
     def _may_take(self) -> bool:
         if self.is_leader or self._released:
             return False
-        return self._takeable_in() <= 0
+        return self._seconds_until_takeable() <= 0
 
-    def _takeable_in(self) -> float:
+    def _seconds_until_takeable(self) -> float:
         """Return the seconds until the row may be taken if it does not change."""
-        unchanged = self._clock() - self._seen_at
+        unchanged = self._clock() - self._changed_at
         standby = self._timing.standby_seconds
         if self._row_version == ABSENT or self._record is None or self._record.released:
             return max(0.0, standby - unchanged)
-        if self._mine(self._record):
+        if self._is_own(self._record):
             # The lease ended while the store could not be reached, and nobody took it.
             return 0.0
         lease = self._timing.lease_seconds
         return max(0.0, lease + lease / 4 + standby - unchanged)
 
-    def _mine(self, record: LeaderRecord) -> bool:
+    def _is_own(self, record: LeaderRecord) -> bool:
         return record.start == self._start
 
     def _take(self) -> None:
         # Before the write: when its answer is lost, the row is found to be the own one.
-        self._silent_until = max(self._silent_until, self._end_of_quiet())
+        self._pause_until = max(self._pause_until, self._handover_pause_end())
         started = self._clock()
         written = self._write(self._describe())
         if written is None:
@@ -265,16 +267,16 @@
         self._record = self._describe()
         self._fence = written
         self._valid_until = started + self._timing.lease_seconds
-        orders_in = max(0.0, self._silent_until - self._clock())
+        orders_in = max(0.0, self._pause_until - self._clock())
         log_event("giver_taken", fence=written, orders_in=round(orders_in, 3))
 
-    def _end_of_quiet(self) -> float:
+    def _handover_pause_end(self) -> float:
         """Return when the former giver's last order will be old enough."""
-        if self._row_version == ABSENT or self._record is None or self._mine(self._record):
+        if self._row_version == ABSENT or self._record is None or self._is_own(self._record):
             return -math.inf
         # One that has released the lease had sent its last order before.
         after = 0.0 if self._record.released else self._timing.order_seconds
-        last_order = self._seen_at + after
+        last_order = self._changed_at + after
         return last_order + self._timing.handover_pause_seconds
 
 
