--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_client.py
@@ -14,7 +14,7 @@
 from redwingscale_daemon._internal.swaps.update_delay import UpdateDelay
 
 UPDATE_SECONDS = 0.25
-_RECEIVE_MS = 250
+_RECEIVE_TIMEOUT_MS = 250
 # Six messages that did not come: the link, not a message, is lost.
 SILENT_SECONDS = 1.5
 # News that are later than this are logged, once until they come in time again.
@@ -41,28 +41,28 @@
         self,
         lease: LeaderLease,
         instance: str,
-        make: MakeUpdate,
+        make_update: MakeUpdate,
         on_update: OnUpdate,
-        to_self: Callable[[InstanceUpdate], None],
+        deliver_locally: Callable[[InstanceUpdate], None],
     ) -> None:
         self._lease = lease
         self._instance = instance
-        self._make = make
+        self._make_update = make_update
         self._on_update = on_update
-        self._to_self = to_self
+        self._deliver_locally = deliver_locally
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(LeaderUpdate)
         self._wake = threading.Event()
         self._stopped = False
         self._record: LeaderRecord | None = None
         self._sockets: _Sockets | None = None
-        self._heard_at = 0.0
+        self._received_at = 0.0
         self._delay = UpdateDelay()
         self._update_late = False
         # The link over which, and whether this instance itself as the order giver, has
         # been told what was asked for before its time.
-        self._introduced_over: _Sockets | None = None
-        self._introduced_to_self = False
+        self._snapshot_sent_over: _Sockets | None = None
+        self._snapshot_delivered = False
         self._threads = [
             threading.Thread(target=self._receive, name="giver-news", daemon=True),
             threading.Thread(target=self._send, name="giver-needs", daemon=True),
@@ -87,10 +87,10 @@
 
     def _receive(self) -> None:
         while not self._stopped:
-            self._follow()
+            self._follow_leader()
             sockets = self._sockets
             if sockets is None:
-                time.sleep(_RECEIVE_MS / 1000)
+                time.sleep(_RECEIVE_TIMEOUT_MS / 1000)
                 continue
             try:
                 update = self._decoder.decode(sockets.sub.recv())
@@ -100,10 +100,10 @@
                 log_event("giver_news_invalid", level="WARNING", error=repr(error))
                 self._close()
                 continue
-            self._heard_at = time.monotonic()
-            self._on_update(update.delayed(self._late_by(update)))
+            self._received_at = time.monotonic()
+            self._on_update(update.delayed(self._delay_seconds(update)))
 
-    def _late_by(self, update: LeaderUpdate) -> float:
+    def _delay_seconds(self, update: LeaderUpdate) -> float:
         start = self._record.start if self._record else ""
         seconds = self._delay.seconds(start, update.sent_at)
         late = seconds > LATE_SECONDS
@@ -112,12 +112,12 @@
             log_event("giver_news_late", giver=update.leader, late=late, seconds=round(seconds, 3))
         return seconds
 
-    def _follow(self) -> None:
+    def _follow_leader(self) -> None:
         record = self._lease.record
         if record is None or record.released or record.instance == self._instance:
             self._close()
             return
-        silent = time.monotonic() - self._heard_at > SILENT_SECONDS
+        silent = time.monotonic() - self._received_at > SILENT_SECONDS
         if self._sockets is not None and record == self._record and not silent:
             return
         if self._sockets is not None:
@@ -125,7 +125,7 @@
         self._close()
         self._sockets = _dial(record)
         self._record = record
-        self._heard_at = time.monotonic()
+        self._received_at = time.monotonic()
 
     def _close(self) -> None:
         sockets, self._sockets = self._sockets, None
@@ -138,16 +138,18 @@
             self._wake.wait(UPDATE_SECONDS)
             self._wake.clear()
             if self._lease.is_leader:
-                self._to_self(self._make(not self._introduced_to_self))
-                self._introduced_to_self = True
+                self._deliver_locally(self._make_update(not self._snapshot_delivered))
+                self._snapshot_delivered = True
                 continue
-            self._introduced_to_self = False
+            self._snapshot_delivered = False
             sockets = self._sockets
-            update = self._make(sockets is not None and sockets is not self._introduced_over)
+            update = self._make_update(
+                sockets is not None and sockets is not self._snapshot_sent_over
+            )
             if sockets is not None:
-                self._tell(sockets, update)
+                self._push(sockets, update)
 
-    def _tell(self, sockets: _Sockets, update: InstanceUpdate) -> None:
+    def _push(self, sockets: _Sockets, update: InstanceUpdate) -> None:
         try:
             sockets.push.send(self._encoder.encode(update), block=False)
         except pynng.TryAgain:
@@ -156,11 +158,11 @@
         except pynng.NNGException as error:
             log_event("giver_needs_failed", level="WARNING", error=repr(error))
             return
-        self._introduced_over = sockets
+        self._snapshot_sent_over = sockets
 
 
 def _dial(record: LeaderRecord) -> _Sockets:
-    sub = pynng.Sub0(recv_timeout=_RECEIVE_MS, topics=b"")
+    sub = pynng.Sub0(recv_timeout=_RECEIVE_TIMEOUT_MS, topics=b"")
     push = pynng.Push0()
     sub.dial(f"tcp://{record.host}:{record.news_port}", block=False)
     push.dial(f"tcp://{record.host}:{record.needs_port}", block=False)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_server.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_server.py
@@ -10,9 +10,9 @@
 
 from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, LeaderUpdate
 
-_RECEIVE_MS = 1000
+_RECEIVE_TIMEOUT_MS = 1000
 # News are four a second; an instance without any for this long is gone or cut off.
-HEARD_SECONDS = 2.0
+SEEN_SECONDS = 2.0
 
 OnUpdate = Callable[[InstanceUpdate], None]
 
@@ -27,11 +27,11 @@
 
     def __init__(self, host: str, news_port: int, needs_port: int, on_update: OnUpdate) -> None:
         self._pub = pynng.Pub0()
-        self._pull = pynng.Pull0(recv_timeout=_RECEIVE_MS)
+        self._pull = pynng.Pull0(recv_timeout=_RECEIVE_TIMEOUT_MS)
         self._addresses = (f"tcp://{host}:{news_port}", f"tcp://{host}:{needs_port}")
         self._on_update = on_update
         self._encoder = msgspec.msgpack.Encoder()
-        self._heard_at: dict[str, float] = {}
+        self._received_at: dict[str, float] = {}
         # The ports in use, also where 0 was asked for; known after the start.
         self.news_port = news_port
         self.needs_port = needs_port
@@ -47,7 +47,7 @@
     def stop(self) -> None:
         """Close both ports."""
         self._stopped = True
-        self._thread.join(2 * _RECEIVE_MS / 1000)
+        self._thread.join(2 * _RECEIVE_TIMEOUT_MS / 1000)
         self._pub.close()
         self._pull.close()
 
@@ -63,8 +63,8 @@
 
     def instances_seen(self) -> int:
         """Return how many other instances were heard of lately."""
-        since = time.monotonic() - HEARD_SECONDS
-        return sum(1 for heard_at in list(self._heard_at.values()) if heard_at > since)
+        since = time.monotonic() - SEEN_SECONDS
+        return sum(1 for received_at in list(self._received_at.values()) if received_at > since)
 
     def _run(self) -> None:
         decoder = msgspec.msgpack.Decoder(InstanceUpdate)
@@ -78,7 +78,7 @@
             except (msgspec.DecodeError, pynng.NNGException) as error:
                 log_event("instance_news_invalid", level="WARNING", error=error)
                 continue
-            self._heard_at[update.instance] = time.monotonic()
+            self._received_at[update.instance] = time.monotonic()
             self._on_update(update)
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/update_delay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/update_delay.py
@@ -3,7 +3,7 @@
 import time
 
 # Two clocks that run at different rates drift apart by less than this part of the time.
-MOST_DRIFT = 2e-4
+MAX_CLOCK_DRIFT = 2e-4
 
 
 class UpdateDelay:
@@ -17,15 +17,15 @@
     def __init__(self) -> None:
         self._start = ""
         # By the two clocks, of the quickest message; and when it was heard.
-        self._least_difference = float("inf")
-        self._heard_at = 0.0
+        self._min_difference = float("inf")
+        self._received_at = 0.0
 
     def seconds(self, start: str, sent_at: float) -> float:
         """Return how late a message is that ``start`` of a giver sent at its ``sent_at``."""
         now = time.monotonic()
         if start != self._start:
-            self._start, self._least_difference = start, float("inf")
-        drifted = self._least_difference + (now - self._heard_at) * MOST_DRIFT
-        self._least_difference = min(drifted, now - sent_at)
-        self._heard_at = now
-        return now - sent_at - self._least_difference
+            self._start, self._min_difference = start, float("inf")
+        max_difference = self._min_difference + (now - self._received_at) * MAX_CLOCK_DRIFT
+        self._min_difference = min(max_difference, now - sent_at)
+        self._received_at = now
+        return now - sent_at - self._min_difference
