--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/failing_upstreams.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/failing_upstreams.py
@@ -11,31 +11,31 @@
 
 # What was seen counts half after this: an upstream that has recovered is used again
 # within some seconds, also when nobody has tried it.
-HALF_SECONDS = 3.0
+HALF_LIFE_SECONDS = 3.0
 # Above this many a further failure adds nothing: after a burst of hundreds an upstream
 # would else stay out for a minute.
-MOST_COUNTED = 16.0
+MAX_COUNTED_REQUESTS = 16.0
 # One request that crashes its upstream, or is cut by a network, tells nothing.
-LEAST_FAILURES = 2.0
-LEAST_PART = 0.1
+MIN_FAILURES = 2.0
+MIN_FAILURE_RATIO = 0.1
 
 
-class _Seen(NamedTuple):
+class _Counts(NamedTuple):
     answered: float
     failed: float
-    at: float
+    counted_at: float
 
-    def faded(self, now: float) -> "_Seen":
-        part = 0.5 ** ((now - self.at) / HALF_SECONDS)
-        return _Seen(self.answered * part, self.failed * part, now)
+    def decayed(self, now: float) -> "_Counts":
+        factor = 0.5 ** ((now - self.counted_at) / HALF_LIFE_SECONDS)
+        return _Counts(self.answered * factor, self.failed * factor, now)
 
     @property
-    def part(self) -> float:
+    def failure_ratio(self) -> float:
         """Return the failing part, 0 while too few have failed."""
-        if self.failed < LEAST_FAILURES:
+        if self.failed < MIN_FAILURES:
             return 0.0
-        part = self.failed / (self.failed + self.answered)
-        return part if part >= LEAST_PART else 0.0
+        ratio = self.failed / (self.failed + self.answered)
+        return ratio if ratio >= MIN_FAILURE_RATIO else 0.0
 
 
 class FailingUpstreams:
@@ -43,34 +43,40 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._seen_by_id: dict[str, _Seen] = {}
-        self._told: frozenset[str] = frozenset()
+        self._counts_by_id: dict[str, _Counts] = {}
+        self._logged_ids: frozenset[str] = frozenset()
 
     def receive(self, entries: Iterable[OutcomeEntry]) -> None:
         """Take what an instance has counted since its last news."""
         now = time.monotonic()
         with self._lock:
             for entry in entries:
-                before = self._seen_by_id.get(entry.upstream, _Seen(0.0, 0.0, now)).faded(now)
-                answered, failed = before.answered + entry.answered, before.failed + entry.failed
-                scale = min(1.0, MOST_COUNTED / max(1.0, answered + failed))
-                self._seen_by_id[entry.upstream] = _Seen(answered * scale, failed * scale, now)
+                counts = self._counts_by_id.get(entry.upstream, _Counts(0.0, 0.0, now)).decayed(now)
+                answered, failed = counts.answered + entry.answered, counts.failed + entry.failed
+                scale = min(1.0, MAX_COUNTED_REQUESTS / max(1.0, answered + failed))
+                self._counts_by_id[entry.upstream] = _Counts(answered * scale, failed * scale, now)
 
     def ratios(self) -> dict[str, float]:
         """Return the failing part of each upstream that fails enough to tell."""
         now = time.monotonic()
         with self._lock:
-            faded = {key: seen.faded(now) for key, seen in self._seen_by_id.items()}
-            self._seen_by_id = {
-                key: seen for key, seen in faded.items() if seen.answered + seen.failed > 0.1
+            decayed = {key: counts.decayed(now) for key, counts in self._counts_by_id.items()}
+            self._counts_by_id = {
+                key: counts
+                for key, counts in decayed.items()
+                if counts.answered + counts.failed > 0.1
             }
-        ratios = {key: round(seen.part, 2) for key, seen in faded.items() if seen.part}
+        ratios = {
+            key: round(counts.failure_ratio, 2)
+            for key, counts in decayed.items()
+            if counts.failure_ratio
+        }
         self._log(ratios)
         return ratios
 
     def _log(self, ratios: dict[str, float]) -> None:
-        for key in ratios.keys() - self._told:
+        for key in ratios.keys() - self._logged_ids:
             log_event("upstream_failing", level="WARNING", upstream=key, part=ratios[key])
-        for key in self._told - ratios.keys():
+        for key in self._logged_ids - ratios.keys():
             log_event("upstream_sound", upstream=key)
-        self._told = frozenset(ratios)
+        self._logged_ids = frozenset(ratios)
