--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_count.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_count.py
@@ -3,23 +3,23 @@
 from collections.abc import Callable
 
 # Before instances are heard of: a deployment of the usual size.
-USUAL_INSTANCES = 6
+DEFAULT_INSTANCES = 6
 
 
 class InstanceCount:
     """The most that this process has heard of: shares counted by it are never too large."""
 
-    def __init__(self, recorded: Callable[[], int]) -> None:
+    def __init__(self, read_recorded: Callable[[], int]) -> None:
         # What the order giver's row tells as last read: asked for each time, as a process
         # that has just begun counts by it from its first request on.
-        self._recorded = recorded
-        self._most = USUAL_INSTANCES
+        self._read_recorded = read_recorded
+        self._highest = DEFAULT_INSTANCES
 
     def __call__(self) -> int:
         """Return the count."""
-        self._most = max(self._most, self._recorded())
-        return self._most
+        self._highest = max(self._highest, self._read_recorded())
+        return self._highest
 
     def receive(self, instances: int) -> None:
         """Take what the order giver tells."""
-        self._most = max(self._most, instances)
+        self._highest = max(self._highest, instances)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_totals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_totals.py
@@ -12,7 +12,7 @@
 # nothing until it is heard of again.
 FRESH_SECONDS = 1.0
 # An instance that an upstream has served within this time counts as served by it.
-SERVED_SECONDS = 3.0
+RECENTLY_SERVED_SECONDS = 3.0
 
 
 class Totals(NamedTuple):
@@ -31,8 +31,8 @@
 NO_TOTALS = Totals({}, {}, set(), set())
 
 
-class _Told(NamedTuple):
-    at: float
+class _Received(NamedTuple):
+    received_at: float
     update: InstanceUpdate
 
 
@@ -40,23 +40,23 @@
     """Keeps each instance's newest news."""
 
     def __init__(self) -> None:
-        self._told_by_instance: dict[str, _Told] = {}
+        self._latest_by_instance: dict[str, _Received] = {}
         # When each instance was served last, by upstream.
         self._served_at: dict[str, dict[str, float]] = defaultdict(dict)
 
     def __len__(self) -> int:
-        return len(self._told_by_instance)
+        return len(self._latest_by_instance)
 
     def receive(self, update: InstanceUpdate) -> bool:
         """Take an instance's news; return whether it has just come, or come back."""
         now = time.monotonic()
-        before = self._told_by_instance.get(update.instance)
-        self._told_by_instance[update.instance] = _Told(now, update)
+        before = self._latest_by_instance.get(update.instance)
+        self._latest_by_instance[update.instance] = _Received(now, update)
         served = {entry.upstream for entry in update.loads if entry.requests}
         served.update(entry.upstream for entry in update.outcomes if entry.answered)
         for upstream in served - set(update.rejecting):
             self._served_at[upstream][update.instance] = now
-        return before is None or now - before.at > FRESH_SECONDS
+        return before is None or now - before.received_at > FRESH_SECONDS
 
     def forget(self, upstream_ids: set[str]) -> None:
         """Drop upstreams that are gone."""
@@ -68,15 +68,15 @@
         since = time.monotonic() - FRESH_SECONDS
         return [
             one.update.address
-            for one in list(self._told_by_instance.values())
-            if one.at > since and one.update.address
+            for one in list(self._latest_by_instance.values())
+            if one.received_at > since and one.update.address
         ]
 
     def sum(self) -> Totals:
         """Return the totals of the instances that were heard of lately."""
         since = time.monotonic() - FRESH_SECONDS
-        told = list(self._told_by_instance.values())
-        fresh = [one.update for one in told if one.at > since]
+        latest = list(self._latest_by_instance.values())
+        fresh = [one.update for one in latest if one.received_at > since]
         return Totals(_loads(fresh), _uses(fresh), _cut_off(fresh), self._rejecting(fresh))
 
     def _rejecting(self, fresh: list[InstanceUpdate]) -> set[str]:
@@ -86,7 +86,7 @@
         brought there could not be used. Among hundreds of instances most send such an
         upstream nothing at all, so those that it serves are counted, not all there are.
         """
-        since = time.monotonic() - SERVED_SECONDS
+        since = time.monotonic() - RECENTLY_SERVED_SECONDS
         rejected_by_id: dict[str, set[str]] = defaultdict(set)
         for update in fresh:
             for key in update.rejecting:
