--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/list_changes.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/list_changes.py
@@ -11,12 +11,12 @@
 
 # A message may be lost and the next one come a second later; an instance that hears
 # nothing for longer reads the list itself.
-TOLD_SECONDS = 3.0
+LIST_CHANGE_REPEAT_SECONDS = 3.0
 # How many upstreams of the list that a giver begins with each of its first news tells.
-FIRST_TOLD_EACH = 8
+INITIAL_UPSTREAMS_PER_UPDATE = 8
 
 
-class _Known(NamedTuple):
+class _Listed(NamedTuple):
     """An upstream as listed last, None once it is gone, and when that changed."""
 
     upstream: Upstream | None
@@ -27,8 +27,8 @@
     """Compares one list with the next; each change is told for some seconds."""
 
     def __init__(self) -> None:
-        self._known: dict[str, _Known] = {}
-        self._first: list[str] = []
+        self._listed_by_id: dict[str, _Listed] = {}
+        self._initial_ids: list[str] = []
 
     def begin_with(self, listed: Iterable[Upstream]) -> None:
         """Take the list that an order giver begins with; it is told once, in pieces.
@@ -39,8 +39,8 @@
         another one sees so by the digest and reads the store.
         """
         by_id = {upstream.id: upstream for upstream in listed}
-        self._known = {key: _Known(one, float("-inf")) for key, one in by_id.items()}
-        self._first = [*by_id]
+        self._listed_by_id = {key: _Listed(one, float("-inf")) for key, one in by_id.items()}
+        self._initial_ids = [*by_id]
 
     def make_update(self, directory: UpstreamDirectory, age: float) -> ListUpdate:
         """Return what to tell of ``directory``, whose list was read ``age`` seconds ago."""
@@ -63,27 +63,30 @@
         now = time.monotonic()
         by_id = {upstream.id: upstream for upstream in listed}
         for key, upstream in by_id.items():
-            known = self._known.get(key)
-            if known is None or known.upstream is None or _differ(known.upstream, upstream):
-                self._known[key] = _Known(upstream, now)
-        for key in self._known.keys() - by_id.keys() - set(kept):
-            if self._known[key].upstream is not None:
-                self._known[key] = _Known(None, now)
+            entry = self._listed_by_id.get(key)
+            if entry is None or entry.upstream is None or _differ(entry.upstream, upstream):
+                self._listed_by_id[key] = _Listed(upstream, now)
+        for key in self._listed_by_id.keys() - by_id.keys() - set(kept):
+            if self._listed_by_id[key].upstream is not None:
+                self._listed_by_id[key] = _Listed(None, now)
         recent = {
-            key: known
-            for key, known in self._known.items()
-            if now - known.changed_at < TOLD_SECONDS
+            key: entry
+            for key, entry in self._listed_by_id.items()
+            if now - entry.changed_at < LIST_CHANGE_REPEAT_SECONDS
         }
-        for key in self._known.keys() - recent.keys() - by_id.keys() - set(kept):
-            del self._known[key]
+        for key in self._listed_by_id.keys() - recent.keys() - by_id.keys() - set(kept):
+            del self._listed_by_id[key]
         changed = [
-            known.upstream
-            for key, known in recent.items()
-            if known.upstream is not None and key in by_id
+            entry.upstream
+            for key, entry in recent.items()
+            if entry.upstream is not None and key in by_id
         ]
-        first, self._first = self._first[:FIRST_TOLD_EACH], self._first[FIRST_TOLD_EACH:]
-        changed += [by_id[key] for key in first if key in by_id and key not in recent]
-        return changed, [key for key, known in recent.items() if known.upstream is None]
+        initial_ids, self._initial_ids = (
+            self._initial_ids[:INITIAL_UPSTREAMS_PER_UPDATE],
+            self._initial_ids[INITIAL_UPSTREAMS_PER_UPDATE:],
+        )
+        changed += [by_id[key] for key in initial_ids if key in by_id and key not in recent]
+        return changed, [key for key, entry in recent.items() if entry.upstream is None]
 
 
 def _differ(one: Upstream, other: Upstream) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/local_demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/local_demand.py
@@ -11,7 +11,7 @@
 
 _Key = tuple[str, Unit]
 # Of the mean weight of a unit's requests; a unit is mostly asked for by one route.
-NEWEST_PART = 0.25
+NEWEST_FRACTION = 0.25
 
 
 class LocalDemand:
@@ -20,11 +20,11 @@
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._arrivals: Counter[_Key] = Counter()
-        self._missed: Counter[_Key] = Counter()
+        self._overloads: Counter[_Key] = Counter()
         self._waiting: Counter[_Key] = Counter()
         # Mean weights of what asks for each unit.
         self._weights: dict[_Key, float] = {}
-        self._give_up_at: dict[_Key, list[float]] = defaultdict(list)
+        self._wait_ends_at: dict[_Key, list[float]] = defaultdict(list)
         self._wake: Callable[[], None] = lambda: None
 
     def on_new_wait(self, wake: Callable[[], None]) -> None:
@@ -38,19 +38,19 @@
             with self._lock:
                 self._arrivals[key] += 1
                 before = self._weights.get(key, weight)
-                self._weights[key] = before + (weight - before) * NEWEST_PART
+                self._weights[key] = before + (weight - before) * NEWEST_FRACTION
 
     def note_overload(self, service: str, unit: Unit) -> None:
         """Count a request that another copy of ``unit``'s model would have served in time."""
         with self._lock:
-            self._missed[(service, unit)] += 1
+            self._overloads[(service, unit)] += 1
 
     def begin_wait(self, service: str, unit: Unit, max_wait_seconds: float) -> None:
         """Note that a request waits for ``unit``."""
         key = (service, unit)
         with self._lock:
             self._waiting[key] += 1
-            self._give_up_at[key].append(time.monotonic() + max_wait_seconds)
+            self._wait_ends_at[key].append(time.monotonic() + max_wait_seconds)
         self._wake()
 
     def end_wait(self, service: str, unit: Unit) -> None:
@@ -60,17 +60,17 @@
             self._waiting[key] -= 1
             if self._waiting[key] <= 0:
                 del self._waiting[key]
-                self._give_up_at.pop(key, None)
+                self._wait_ends_at.pop(key, None)
 
     def drain(self) -> list[DemandEntry]:
         """Return what was asked for since the last call, and who waits now."""
         now = time.monotonic()
         with self._lock:
             arrivals, self._arrivals = self._arrivals, Counter()
-            missed, self._missed = self._missed, Counter()
+            overloads, self._overloads = self._overloads, Counter()
             waiting = dict(self._waiting)
             weights = dict(self._weights)
-            longest = {key: max(ends) - now for key, ends in self._give_up_at.items()}
+            longest = {key: max(ends) - now for key, ends in self._wait_ends_at.items()}
         return [
             DemandEntry(
                 service,
@@ -79,8 +79,8 @@
                 arrivals[(service, unit)],
                 waiting.get((service, unit), 0),
                 longest.get((service, unit), 0.0),
-                missed[(service, unit)],
+                overloads[(service, unit)],
                 round(weights.get((service, unit), 1.0), 2),
             )
-            for service, unit in arrivals.keys() | waiting.keys() | missed.keys()
+            for service, unit in arrivals.keys() | waiting.keys() | overloads.keys()
         ]
