--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/__init__.py
@@ -1,1 +1,1 @@
-"""Loads and unloads models by demand; one instance at a time gives the orders."""
+"""Loads and unloads models by demand; one instance at a time, the leader, orders the swaps."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/failing_upstreams.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/failing_upstreams.py
@@ -1,4 +1,4 @@
-"""Which upstreams fail requests, from what all instances tell the order giver."""
+"""Failure ratios of upstreams, from the outcomes that all instances report to the leader."""
 
 import threading
 import time
@@ -9,13 +9,14 @@
 
 from redwingscale_daemon._internal.swaps.messages import OutcomeEntry
 
-# What was seen counts half after this: an upstream that has recovered is used again
-# within some seconds, also when nobody has tried it.
+# Half-life of the counts: an upstream that has recovered is used again within a few
+# seconds, even if no request was sent to it in the meantime.
 HALF_LIFE_SECONDS = 3.0
-# Above this many a further failure adds nothing: after a burst of hundreds an upstream
-# would else stay out for a minute.
+# The counts of an upstream are scaled down to this total: without a limit, a burst of
+# hundreds of failures would keep the upstream out of use for a minute.
 MAX_COUNTED_REQUESTS = 16.0
-# One request that crashes its upstream, or is cut by a network, tells nothing.
+# A single failure is no evidence: one request can crash its upstream, or lose its
+# connection in the network.
 MIN_FAILURES = 2.0
 MIN_FAILURE_RATIO = 0.1
 
@@ -31,7 +32,7 @@
 
     @property
     def failure_ratio(self) -> float:
-        """Return the failing part, 0 while too few have failed."""
+        """The fraction of requests that fail, 0 while there are too few failures to judge."""
         if self.failed < MIN_FAILURES:
             return 0.0
         ratio = self.failed / (self.failed + self.answered)
@@ -39,7 +40,7 @@
 
 
 class FailingUpstreams:
-    """Counts that fade, by upstream id."""
+    """Counts the answered and failed requests of each upstream; the counts decay."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -47,7 +48,7 @@
         self._logged_ids: frozenset[str] = frozenset()
 
     def receive(self, entries: Iterable[OutcomeEntry]) -> None:
-        """Take what an instance has counted since its last news."""
+        """Add what an instance has counted since its previous update."""
         now = time.monotonic()
         with self._lock:
             for entry in entries:
@@ -57,7 +58,7 @@
                 self._counts_by_id[entry.upstream] = _Counts(answered * scale, failed * scale, now)
 
     def ratios(self) -> dict[str, float]:
-        """Return the failing part of each upstream that fails enough to tell."""
+        """Return the failure ratio of each upstream with enough failures to judge, by id."""
         now = time.monotonic()
         with self._lock:
             decayed = {key: counts.decayed(now) for key, counts in self._counts_by_id.items()}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_count.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_count.py
@@ -1,17 +1,17 @@
-"""How many instances there are, as far as anybody has told."""
+"""The number of instances that share the limits of the deployment."""
 
 from collections.abc import Callable
 
-# Before instances are heard of: a deployment of the usual size.
+# Assumed until a larger count is known: the size of a usual deployment.
 DEFAULT_INSTANCES = 6
 
 
 class InstanceCount:
-    """The most that this process has heard of: shares counted by it are never too large."""
+    """The highest count known to this process, so that a share is never too large."""
 
     def __init__(self, read_recorded: Callable[[], int]) -> None:
-        # What the order giver's row tells as last read: asked for each time, as a process
-        # that has just begun counts by it from its first request on.
+        # Returns the count in the leader's row as last read. Called for each count, so that a
+        # process that has just started uses the recorded count from its first request on.
         self._read_recorded = read_recorded
         self._highest = DEFAULT_INSTANCES
 
@@ -21,5 +21,5 @@
         return self._highest
 
     def receive(self, instances: int) -> None:
-        """Take what the order giver tells."""
+        """Take the count from an update of the leader."""
         self._highest = max(self._highest, instances)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_totals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_totals.py
@@ -1,4 +1,4 @@
-"""What all instances have told the order giver of upstreams, summed up."""
+"""Sums over the latest updates of all instances, by upstream."""
 
 import time
 from collections import Counter, defaultdict
@@ -8,18 +8,19 @@
 from redwingscale_daemon._internal.fleet.unit import Unit
 from redwingscale_daemon._internal.swaps.messages import InstanceUpdate
 
-# Instances tell four times a second; one that has been silent for longer counts for
-# nothing until it is heard of again.
+# Instances send four updates a second. One that has been silent for longer than this is
+# left out until its next update.
 FRESH_SECONDS = 1.0
-# An instance that an upstream has served within this time counts as served by it.
+# How long an instance counts as served by an upstream after a request there.
 RECENTLY_SERVED_SECONDS = 3.0
 
 
 class Totals(NamedTuple):
-    """Loads and open requests by unit, by upstream id, over all instances.
+    """Sums over all instances, by upstream id.
 
-    ``cut_off`` upstreams cannot be reached by most instances. ``rejecting`` ones have
-    turned more instances away than they serve.
+    ``loads`` has the open requests and their unread prompt tokens, ``uses`` the open
+    requests by unit. Most instances cannot reach the ``cut_off`` upstreams. The
+    ``rejecting`` ones reject more instances than they serve.
     """
 
     loads: dict[str, Load]
@@ -37,18 +38,18 @@
 
 
 class InstanceTotals:
-    """Keeps each instance's newest news."""
+    """Keeps the latest update of each instance."""
 
     def __init__(self) -> None:
         self._latest_by_instance: dict[str, _Received] = {}
-        # When each instance was served last, by upstream.
+        # When each instance was last served, by upstream id and instance.
         self._served_at: dict[str, dict[str, float]] = defaultdict(dict)
 
     def __len__(self) -> int:
         return len(self._latest_by_instance)
 
     def receive(self, update: InstanceUpdate) -> bool:
-        """Take an instance's news; return whether it has just come, or come back."""
+        """Take an update; return whether its instance is new or was silent before."""
         now = time.monotonic()
         before = self._latest_by_instance.get(update.instance)
         self._latest_by_instance[update.instance] = _Received(now, update)
@@ -59,12 +60,12 @@
         return before is None or now - before.received_at > FRESH_SECONDS
 
     def forget(self, upstream_ids: set[str]) -> None:
-        """Drop upstreams that are gone."""
+        """Drop the state of upstreams that are gone."""
         for key in upstream_ids:
             self._served_at.pop(key, None)
 
     def addresses(self) -> list[str]:
-        """Return where the instances that were heard of lately answer questions."""
+        """Return the peer server addresses of the instances seen lately."""
         since = time.monotonic() - FRESH_SECONDS
         return [
             one.update.address
@@ -73,7 +74,7 @@
         ]
 
     def sum(self) -> Totals:
-        """Return the totals of the instances that were heard of lately."""
+        """Return the totals over the instances seen lately."""
         since = time.monotonic() - FRESH_SECONDS
         latest = list(self._latest_by_instance.values())
         fresh = [one.update for one in latest if one.received_at > since]
@@ -82,9 +83,9 @@
     def _rejecting(self, fresh: list[InstanceUpdate]) -> set[str]:
         """Return the upstreams that reject more instances than they serve.
 
-        What they hold is missed by the callers whom they turn away, and a model that is
-        brought there could not be used. Among hundreds of instances most send such an
-        upstream nothing at all, so those that it serves are counted, not all there are.
+        Rejected callers cannot use the models that are resident there, and a model loaded
+        there would be of no use to them either. The comparison is with the instances that
+        the upstream serves, not with all instances: among hundreds, most send it no request.
         """
         since = time.monotonic() - RECENTLY_SERVED_SECONDS
         rejected_by_id: dict[str, set[str]] = defaultdict(set)
@@ -122,9 +123,9 @@
 def _cut_off(fresh: list[InstanceUpdate]) -> set[str]:
     """Return the upstreams that more than half of the instances cannot reach.
 
-    What they hold counts for nothing until they are back: after a partition or a
-    crash their entries in the list last for seconds, and what only they hold would
-    be missed by all.
+    Their resident models do not count until they are reachable again. After a partition
+    or a crash they stay in the list for seconds, and without this rule a model that is
+    resident only there would be unavailable to all callers for that time.
     """
     counts = Counter(key for update in fresh for key in set(update.unreachable))
     return {key for key, count in counts.items() if count * 2 > len(fresh)}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/list_changes.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/list_changes.py
@@ -1,4 +1,4 @@
-"""Which upstreams the list has changed lately."""
+"""The recent changes of the upstream list, for the updates that the leader sends."""
 
 import time
 from collections.abc import Collection, Iterable
@@ -9,41 +9,41 @@
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.fleet.upstream_directory import UpstreamDirectory
 
-# A message may be lost and the next one come a second later; an instance that hears
-# nothing for longer reads the list itself.
+# Each change is repeated for this long: an update may be lost, and the next one may come
+# a second later. An instance without updates for longer reads the list itself.
 LIST_CHANGE_REPEAT_SECONDS = 3.0
-# How many upstreams of the list that a giver begins with each of its first news tells.
+# How many upstreams of its initial list a new leader puts into each of its first updates.
 INITIAL_UPSTREAMS_PER_UPDATE = 8
 
 
 class _Listed(NamedTuple):
-    """An upstream as listed last, None once it is gone, and when that changed."""
+    """An upstream as last listed, None once it is gone, and the time of that change."""
 
     upstream: Upstream | None
     changed_at: float
 
 
 class ListChanges:
-    """Compares one list with the next; each change is told for some seconds."""
+    """Compares each list with the previous one and repeats each change for some seconds."""
 
     def __init__(self) -> None:
         self._listed_by_id: dict[str, _Listed] = {}
         self._initial_ids: list[str] = []
 
     def begin_with(self, listed: Iterable[Upstream]) -> None:
-        """Take the list that an order giver begins with; it is told once, in pieces.
+        """Take the initial list of a new leader; it is sent once, in pieces.
 
-        Told whole in each message for some seconds, the list of many upstreams to many
-        instances takes most of the giver's link: its own calls to the store get no
-        answer, and it loses the lease that it has just taken. An instance whose list is
-        another one sees so by the digest and reads the store.
+        Repeating the whole list in each update for some seconds would fill the leader's link
+        if there are many upstreams and instances: its own calls to the store would get no
+        response, and it would lose the lease that it has just taken. An instance with a
+        different list detects that by the digest and reads the store.
         """
         by_id = {upstream.id: upstream for upstream in listed}
         self._listed_by_id = {key: _Listed(one, float("-inf")) for key, one in by_id.items()}
         self._initial_ids = [*by_id]
 
     def make_update(self, directory: UpstreamDirectory, age: float) -> ListUpdate:
-        """Return what to tell of ``directory``, whose list was read ``age`` seconds ago."""
+        """Return the update for the list in ``directory``, which was read ``age`` seconds ago."""
         copy = directory.copy
         listed = copy.listed()
         changed, gone = self.of(listed, copy.kept)
@@ -53,12 +53,12 @@
     def of(
         self, listed: Iterable[Upstream], kept: Collection[str] = ()
     ) -> tuple[list[Upstream], list[str]]:
-        """Return the upstreams that have come or changed lately, and the ids of those gone.
+        """Return the upstreams added or changed lately, and the ids of those gone.
 
-        Of those that are ``kept`` here, though the list lacks them, nothing is told: each
-        instance decides for itself. Told as listed, one that had left came back to
-        instances that had read so; told as gone, all would be dropped that have only
-        lapsed while the store was away.
+        Upstreams that are ``kept`` here although the list lacks them are left out: each
+        instance decides about them itself. If they were sent as listed, instances that have
+        read of their removal would add them again; if they were sent as gone, all instances
+        would drop upstreams whose entries only lapsed while the store was unavailable.
         """
         now = time.monotonic()
         by_id = {upstream.id: upstream for upstream in listed}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/local_demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/local_demand.py
@@ -1,4 +1,4 @@
-"""What callers ask for at this instance."""
+"""The demand of this instance's callers, by unit."""
 
 import threading
 import time
@@ -10,29 +10,30 @@
 from redwingscale_daemon._internal.swaps.messages import DemandEntry
 
 _Key = tuple[str, Unit]
-# Of the mean weight of a unit's requests; a unit is mostly asked for by one route.
+# Fraction of the newest request in the mean weight of a unit's requests; most of them
+# come from one route.
 NEWEST_FRACTION = 0.25
 
 
 class LocalDemand:
-    """Counts arrivals and waiting requests by unit; tells at once of a new wait."""
+    """Counts arrivals, overloads and waiting requests by unit, for the next update."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._arrivals: Counter[_Key] = Counter()
         self._overloads: Counter[_Key] = Counter()
         self._waiting: Counter[_Key] = Counter()
-        # Mean weights of what asks for each unit.
+        # Mean weight of the requests for each unit.
         self._weights: dict[_Key, float] = {}
         self._wait_ends_at: dict[_Key, list[float]] = defaultdict(list)
         self._wake: Callable[[], None] = lambda: None
 
     def on_new_wait(self, wake: Callable[[], None]) -> None:
-        """Call ``wake`` when a request begins to wait for a unit that none waits for."""
+        """Call ``wake`` whenever a request begins to wait, so that an update is sent at once."""
         self._wake = wake
 
     def arrived(self, service: str, terms: Terms, weight: float = 1.0) -> None:
-        """Count a request, ``weight`` times by its urgency."""
+        """Count a request; ``weight`` is that of its urgency."""
         if terms.prompt is not None:
             key = (service, terms.prompt.unit)
             with self._lock:
@@ -46,7 +47,7 @@
             self._overloads[(service, unit)] += 1
 
     def begin_wait(self, service: str, unit: Unit, max_wait_seconds: float) -> None:
-        """Note that a request waits for ``unit``."""
+        """Note that a request waits for ``unit``, for at most ``max_wait_seconds``."""
         key = (service, unit)
         with self._lock:
             self._waiting[key] += 1
@@ -54,7 +55,7 @@
         self._wake()
 
     def end_wait(self, service: str, unit: Unit) -> None:
-        """Note that it waits no more."""
+        """Note that a request no longer waits for ``unit``."""
         key = (service, unit)
         with self._lock:
             self._waiting[key] -= 1
@@ -63,7 +64,7 @@
                 self._wait_ends_at.pop(key, None)
 
     def drain(self) -> list[DemandEntry]:
-        """Return what was asked for since the last call, and who waits now."""
+        """Return the demand since the previous call, and the requests that wait now."""
         now = time.monotonic()
         with self._lock:
             arrivals, self._arrivals = self._arrivals, Counter()
