--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_client.py
@@ -1,4 +1,4 @@
-"""An instance's end of its link to the order giver."""
+"""An instance's connection to the leader."""
 
 import threading
 import time
@@ -15,12 +15,12 @@
 
 UPDATE_SECONDS = 0.25
 _RECEIVE_TIMEOUT_MS = 250
-# Six messages that did not come: the link, not a message, is lost.
+# Six periodic updates: if none of them arrives, the connection is lost, not an update.
 SILENT_SECONDS = 1.5
-# News that are later than this are logged, once until they come in time again.
+# A longer delay of an update is logged, once until an update arrives in time again.
 LATE_SECONDS = 0.5
 
-# With what was asked for so far, or without.
+# Its argument tells whether the update contains the initial snapshot.
 MakeUpdate = Callable[[bool], InstanceUpdate]
 OnUpdate = Callable[[LeaderUpdate], None]
 
@@ -31,10 +31,10 @@
 
 
 class LeaderClient:
-    """Tells the order giver what is asked for here, and hears what is where.
+    """Sends this instance's updates to the leader, and receives the leader's.
 
-    A link can go silent without being closed: it is dropped, and dialled anew,
-    when the giver's news do not come.
+    A connection can go silent without being closed, so it is dropped and opened again
+    if no update of the leader arrives for `SILENT_SECONDS`.
     """
 
     def __init__(
@@ -59,8 +59,8 @@
         self._received_at = 0.0
         self._delay = UpdateDelay()
         self._update_late = False
-        # The link over which, and whether this instance itself as the order giver, has
-        # been told what was asked for before its time.
+        # The initial snapshot is sent once over each connection, and delivered once to this
+        # instance each time that it becomes the leader.
         self._snapshot_sent_over: _Sockets | None = None
         self._snapshot_delivered = False
         self._threads = [
@@ -69,12 +69,12 @@
         ]
 
     def start(self) -> None:
-        """Begin to follow whoever gives orders."""
+        """Start to follow the current leader."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Close the link."""
+        """Stop the threads and close the connection."""
         self._stopped = True
         self._wake.set()
         for thread in self._threads:
@@ -82,7 +82,7 @@
         self._close()
 
     def wake(self) -> None:
-        """Tell the giver at once."""
+        """Send an update at once."""
         self._wake.set()
 
     def _receive(self) -> None:
@@ -153,7 +153,7 @@
         try:
             sockets.push.send(self._encoder.encode(update), block=False)
         except pynng.TryAgain:
-            # Not connected: what was asked for so far is told when it is.
+            # Not connected yet: the snapshot is sent once the connection is open.
             return
         except pynng.NNGException as error:
             log_event("giver_needs_failed", level="WARNING", error=repr(error))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_lease.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_lease.py
@@ -1,4 +1,4 @@
-"""Which instance gives orders."""
+"""The lease that makes one instance the leader."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -13,12 +13,13 @@
 
 LEASE_ROW = RowKey("redwingscale", "", "order-giver")
 ABSENT = 0
-# The row as it is now, what comes of it, and a holder that has renewed it meanwhile.
+# One call reads the row, one waits for a change, and one more waits if the lease holder
+# has renewed the row meanwhile.
 MAX_CALLS_PER_WATCH = 3
 
 
 class LeaderRecord(msgspec.Struct):
-    """The row's value; ``start`` is an id of the holder's process, new at each start."""
+    """The row's value; ``start`` is an id of the lease holder's process, new at each start."""
 
     instance: str
     host: str
@@ -26,21 +27,23 @@
     needs_port: int
     start: str
     released: bool = False
-    # Where it answers questions, 0 where it does not.
+    # The port of its peer server, 0 for none.
     desk_port: int = 0
-    # How many instances there are, for those that have just started.
+    # The number of instances, for those that have just started.
     instances: int = 0
 
 
 class LeaseTiming(NamedTuple):
-    """``lease_seconds`` from the last renewal; ``handover_pause_seconds`` between two givers' orders.
+    """The times of a lease.
 
-    Orders are given only for ``order_seconds`` after a renewal, less than the
-    lease: the next giver's quiet time counts from the end of these, and is
-    partly over when it takes the lease.
+    The lease ends ``lease_seconds`` after its last renewal. Between the last order of a
+    leader and the first order of its successor is a pause of ``handover_pause_seconds``.
 
-    ``standby_seconds`` is what this instance leaves to others before it takes a lease
-    that is free.
+    Orders are sent only for ``order_seconds`` after a renewal, which is less than the
+    lease: the handover pause counts from the end of that time, and part of it has passed
+    when the successor takes the lease.
+
+    This instance leaves a free lease to others for ``standby_seconds`` before it takes it.
     """
 
     lease_seconds: float
@@ -50,16 +53,16 @@
 
 
 class LeaderLease:
-    """One row that its holder rewrites; whoever sees it unchanged for too long takes it.
+    """A lease on one row of the store: an instance that sees no renewal in time takes it.
 
-    No clock is shared: the holder counts from before it sent the renewal, a
-    taker from when it saw the row's last change, so the holder's lease ends
-    first. The clock also counts while the machine is suspended: a holder that
-    wakes sees at once that its lease has ended. A new holder is silent for
-    ``handover_pause_seconds``, so that orders of two givers never take turns.
+    The instances share no clock. The lease holder counts from before it sends a renewal,
+    a successor from when it observes the row's last change, so the lease ends first for
+    its holder. The clock also counts while the machine is suspended: a lease holder that
+    resumes detects at once that its lease has ended. A new leader sends no orders for
+    ``handover_pause_seconds``, so that orders of two leaders never interleave.
 
-    ``start`` is an id of this process; ``describe`` returns its record, whose
-    ports are known once they are open.
+    ``start`` is an id of this process. ``describe`` returns the record of this instance; it
+    is called for each write, as the ports in it are known only once they are open.
     """
 
     def __init__(
@@ -76,10 +79,10 @@
         self._timing = timing
         self._clock = clock
         self._row_version = ABSENT
-        # The store's version as of which the row is known, None before the first read.
+        # The store's version as of the last read, None if the row must be read again.
         self._store_version: int | None = None
         self._changed_at = clock()
-        # The newest version that the holder's news have told, and when first.
+        # The newest row version announced by the lease holder, and when it was first received.
         self._announced_renewal = (ABSENT, -math.inf)
         self._record: LeaderRecord | None = None
         self._valid_until = -math.inf
@@ -89,23 +92,23 @@
 
     @property
     def record(self) -> LeaderRecord | None:
-        """The holder as last read, None while none is known."""
+        """The record of the lease holder as last read, None if there is none."""
         return self._record
 
     @property
     def is_leader(self) -> bool:
-        """Whether this instance is the order giver now."""
+        """Whether this instance is the leader now."""
         return self._clock() < self._valid_until
 
     @property
     def succeeds_another(self) -> bool:
-        """Whether another process gave the orders before."""
+        """Whether another process was the leader before."""
         return self._pause_until > -math.inf
 
     def fence(self) -> int | None:
         """Return the fencing number if orders may be sent now, else None.
 
-        To be asked right before each order: a frozen process wakes up anywhere.
+        Call it right before each order: a suspended process can resume at any point.
         """
         now = self._clock()
         orders_until = self._valid_until - self._timing.lease_seconds + self._timing.order_seconds
@@ -119,25 +122,28 @@
         return self._row_version
 
     def note_renewal(self, row_version: int) -> None:
-        """Note the version of its newest renewal, as the holder's news tell it.
+        """Note the row version of a renewal, as announced in an update of the lease holder.
 
-        While news come the row is not read. When they end, the lease counts from the
-        moment at which its version was first told: counted from the first read after
-        that, the orders of the next giver would begin two seconds later.
+        The row is not read while updates arrive. After the last one, the lease counts from
+        the moment at which the row's version was first announced: if it counted from the
+        first read after that, the orders of the successor would begin two seconds later.
         """
         if row_version > self._announced_renewal[0]:
             self._announced_renewal = (row_version, self._clock())
 
     def adopt_record(self, row_version: int, record: LeaderRecord) -> None:
-        """Take the row as a peer knows it, where that is newer.
+        """Adopt the row as known to a peer, if it is newer.
 
-        An instance that the store turns away finds the next order giver so.
+        This is how an instance that the store rejects finds a new leader.
         """
         if not self.is_leader and row_version > self._row_version:
             self._observe(row_version, record)
 
     def step(self) -> None:
-        """Renew the lease, or read the row and take it when it is due; raise `PlatformError`."""
+        """Renew the lease, or read the row and take it if the lease has ended.
+
+        Raises `PlatformError` if the store fails.
+        """
         if self.is_leader:
             self._renew()
         else:
@@ -146,11 +152,12 @@
             self._take()
 
     def watch(self, max_seconds: float) -> None:
-        """Wait at the store until the row changes, or until it may be taken; take it then.
+        """Wait at the store until the row changes or may be taken, and take it then.
 
-        For an instance that hears no holder, in place of `step`: reads at a fixed rate by
-        some hundred instances would be most of what a hand-over asks of the store, and
-        find the next holder late. Raises `PlatformError`.
+        Replaces `step` in an instance that receives no updates of a leader. Reads at a fixed
+        rate by some hundred instances would be most of the store's load during a handover,
+        and would find the new leader late. Returns after at most ``max_seconds``.
+        Raises `PlatformError` if the store fails.
         """
         end = self._clock() + max_seconds
         for _ in range(MAX_CALLS_PER_WATCH):
@@ -163,14 +170,14 @@
                 self._wait_for_change(
                     self._store_version, min(seconds_left, self._seconds_until_takeable())
                 )
-            # Right after the wait: a pause here would give the lease to whichever instance
-            # wakes first, a small machine as well as a large one.
+            # Take it right after the wait: with a pause here, the lease would go to whichever
+            # instance resumes first, on a small machine as well as on a large one.
             if self._may_take():
                 self._take()
                 return
 
     def release(self) -> None:
-        """Let another instance take over without waiting; take nothing any more."""
+        """End the lease so that another instance can take it at once; never take it again."""
         self._released = True
         if not self.is_leader:
             return
@@ -193,7 +200,8 @@
             self._row_version = written
             self._valid_until = started + self._timing.lease_seconds
             return
-        # Either another instance took the row, or the answer to an own renewal was lost.
+        # Either another instance took the row, or the response to an earlier renewal of this
+        # instance was lost.
         self._read()
         if self._record is None or not self._is_own(self._record):
             self._valid_until = -math.inf
@@ -216,7 +224,7 @@
             self._observe(ABSENT, None)
 
     def _observe_newest(self, rows: Iterable[StoredRow]) -> bool:
-        """Take the row's newest state; return whether there is one."""
+        """Note the newest of ``rows``; return whether there is one."""
         row = max(rows, key=lambda row: row.version, default=None)
         if row is None:
             return False
@@ -247,7 +255,7 @@
         if self._row_version == ABSENT or self._record is None or self._record.released:
             return max(0.0, standby - unchanged)
         if self._is_own(self._record):
-            # The lease ended while the store could not be reached, and nobody took it.
+            # The lease ended while the store could not be reached, and no instance took it.
             return 0.0
         lease = self._timing.lease_seconds
         return max(0.0, lease + lease / 4 + standby - unchanged)
@@ -256,7 +264,8 @@
         return record.start == self._start
 
     def _take(self) -> None:
-        # Before the write: when its answer is lost, the row is found to be the own one.
+        # Set before the write: if its response is lost, the row turns out to be this
+        # instance's own, and the pause could no longer be derived from it.
         self._pause_until = max(self._pause_until, self._handover_pause_end())
         started = self._clock()
         written = self._write(self._describe())
@@ -271,10 +280,10 @@
         log_event("giver_taken", fence=written, orders_in=round(orders_in, 3))
 
     def _handover_pause_end(self) -> float:
-        """Return when the former giver's last order will be old enough."""
+        """Return when the pause after the former leader's last order ends."""
         if self._row_version == ABSENT or self._record is None or self._is_own(self._record):
             return -math.inf
-        # One that has released the lease had sent its last order before.
+        # A leader that releases the lease has sent its last order before.
         after = 0.0 if self._record.released else self._timing.order_seconds
         last_order = self._changed_at + after
         return last_order + self._timing.handover_pause_seconds
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_server.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader_server.py
@@ -1,4 +1,4 @@
-"""The order giver's end of the links between instances."""
+"""The leader's end of the connections between the instances and the leader."""
 
 import threading
 import time
@@ -11,18 +11,19 @@
 from redwingscale_daemon._internal.swaps.messages import InstanceUpdate, LeaderUpdate
 
 _RECEIVE_TIMEOUT_MS = 1000
-# News are four a second; an instance without any for this long is gone or cut off.
+# Updates come four times a second: an instance without one for this long has stopped or
+# is cut off.
 SEEN_SECONDS = 2.0
 
 OnUpdate = Callable[[InstanceUpdate], None]
 
 
 class LeaderServer:
-    """Listens on two ports: one takes the instances' news, one tells the giver's.
+    """Listens on two ports: one receives the instances' updates, one sends the leader's.
 
-    Every instance listens, so that one that becomes the order giver is reached
-    at once. ``Pull0`` and ``Pub0`` take several links each: one that has gone
-    silent does not keep its partner from dialling anew.
+    Every instance listens, so that a new leader can be reached at once. ``Pull0`` and
+    ``Pub0`` accept several connections each: one that has gone silent does not prevent
+    the instance at its other end from reconnecting.
     """
 
     def __init__(self, host: str, news_port: int, needs_port: int, on_update: OnUpdate) -> None:
@@ -32,14 +33,14 @@
         self._on_update = on_update
         self._encoder = msgspec.msgpack.Encoder()
         self._received_at: dict[str, float] = {}
-        # The ports in use, also where 0 was asked for; known after the start.
+        # The ports in use after `start`, also where port 0 was requested.
         self.news_port = news_port
         self.needs_port = needs_port
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="giver-hub", daemon=True)
 
     def start(self) -> None:
-        """Listen on both ports; raise OSError when one is taken."""
+        """Listen on both ports; raise `OSError` if one is in use."""
         self.news_port = open_port(self._pub, self._addresses[0])
         self.needs_port = open_port(self._pull, self._addresses[1])
         self._thread.start()
@@ -52,7 +53,7 @@
         self._pull.close()
 
     def publish(self, update: LeaderUpdate) -> int:
-        """Tell every instance that listens; never blocks. Return the bytes for each of them."""
+        """Send an update to all connected instances without blocking; return its size in bytes."""
         sent = msgspec.structs.replace(update, sent_at=time.monotonic())
         message = self._encoder.encode(sent)
         try:
@@ -62,7 +63,7 @@
         return len(message)
 
     def instances_seen(self) -> int:
-        """Return how many other instances were heard of lately."""
+        """Return the number of other instances seen lately."""
         since = time.monotonic() - SEEN_SECONDS
         return sum(1 for received_at in list(self._received_at.values()) if received_at > since)
 
@@ -83,7 +84,7 @@
 
 
 def open_port(sock: pynng.Socket, address: str) -> int:
-    """Listen on ``address`` and return the port in use; raise OSError when it is taken."""
+    """Listen on ``address`` and return the port; raise `OSError` if it is in use."""
     try:
         listener = sock.listen(address)
     except pynng.NNGException as error:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/update_delay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/update_delay.py
@@ -1,27 +1,32 @@
-"""How long the order giver's news were on their way."""
+"""The delay of the leader's updates on their way to this instance."""
 
 import time
 
-# Two clocks that run at different rates drift apart by less than this part of the time.
+# The most that two clocks drift apart, as a fraction of the elapsed time.
 MAX_CLOCK_DRIFT = 2e-4
 
 
 class UpdateDelay:
-    """Compares each message's way with the shortest one so far.
+    """Compares the transit time of each update with the shortest one so far.
 
-    No clock is shared: what two clocks differ by is in every message alike, so that what
-    one takes longer than the quickest is time that it spent in queues or on a harmed link.
-    Without it, news of a giver behind a full link seem new however old they are.
+    The two instances share no clock. The offset between their clocks is the same for all
+    updates, so the time that an update takes beyond the fastest one was spent in queues or
+    on a faulty link. Without this measure, updates from behind a congested link would pass
+    for current however old they are.
     """
 
     def __init__(self) -> None:
         self._start = ""
-        # By the two clocks, of the quickest message; and when it was heard.
+        # Receive time minus send time of the fastest update, each by its own clock; allowed
+        # to grow by the drift since the previous update, which came at `_received_at`.
         self._min_difference = float("inf")
         self._received_at = 0.0
 
     def seconds(self, start: str, sent_at: float) -> float:
-        """Return how late a message is that ``start`` of a giver sent at its ``sent_at``."""
+        """Return the delay of an update that was sent at ``sent_at`` of the leader's clock.
+
+        ``start`` is the id of the leader's process: each process has a clock of its own.
+        """
         now = time.monotonic()
         if start != self._start:
             self._start, self._min_difference = start, float("inf")
