--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/messages.py
@@ -1,4 +1,4 @@
-"""What instances and the order giver tell each other."""
+"""The updates that the instances and the leader send each other."""
 
 import msgspec
 
@@ -8,12 +8,12 @@
 
 
 class DemandEntry(msgspec.Struct, array_like=True):
-    """How much a unit is asked for at one instance since its last message.
+    """The demand for a unit at one instance since its previous update.
 
-    ``waiting`` requests have no holder; the most patient of them can wait for
-    ``max_wait_seconds`` more. ``overloads`` had holders that were too busy: they were
-    refused for it, or had their first event after their latency target. Each that waits
-    counts ``weight`` times, by its urgency.
+    ``waiting`` requests have no holder; at least one of them can wait for another
+    ``max_wait_seconds``, and none longer. ``overloads`` counts requests whose holders were
+    too busy: they were refused for that reason, or had their first event after their
+    latency target. Each waiting request counts ``weight`` times, by its urgency.
     """
 
     service: str
@@ -27,7 +27,7 @@
 
 
 class LoadEntry(msgspec.Struct, array_like=True):
-    """One instance's open requests at an upstream, and their prompt tokens not yet read."""
+    """The open requests at an upstream, and their prompt tokens that it has yet to read."""
 
     upstream: str
     requests: int
@@ -44,10 +44,11 @@
 
 
 class ModelRates(msgspec.Struct, array_like=True):
-    """What one instance has been asked for of a model, adapters included, a second.
+    """The demand for a model and its adapters at one instance, in requests a second.
 
-    ``steady`` and ``recent`` arrivals and ``overloads`` ones fade with the half-lives of
-    the demand that they come from; ``peak`` is the highest steady rate so far.
+    ``steady`` and ``recent`` are rates of arrivals, ``overloads`` is a rate of overloads; they
+    decay with the half-lives of the `Demand` that they come from. ``peak`` is the highest
+    steady rate so far.
     """
 
     service: str
@@ -59,7 +60,7 @@
 
 
 class UnitRate(msgspec.Struct, array_like=True):
-    """How often one instance has been asked for a unit, a second, faded."""
+    """The decaying rate of requests for a unit at one instance, in requests a second."""
 
     service: str
     model: str
@@ -68,7 +69,7 @@
 
 
 class DemandSnapshot(msgspec.Struct, array_like=True):
-    """What one instance has been asked for; its first request is ``seconds`` old."""
+    """The demand history of one instance, whose first request came ``seconds`` ago."""
 
     seconds: float
     models: list[ModelRates]
@@ -76,7 +77,7 @@
 
 
 class OutcomeEntry(msgspec.Struct, array_like=True):
-    """How many requests an upstream has answered and failed since the instance's last news."""
+    """The requests that an upstream answered and failed since the instance's previous update."""
 
     upstream: str
     answered: int
@@ -84,13 +85,13 @@
 
 
 class InstanceUpdate(msgspec.Struct, array_like=True):
-    """From each instance to the order giver.
+    """An update from an instance to the leader.
 
-    ``unreachable`` upstreams have taken no connection of this instance lately.
-    ``demand_snapshot`` is told once to each order giver, which has heard nothing before. At its
-    ``address`` it answers questions of others. ``leaving`` upstreams have said so in their
-    answers, and the list does not yet. ``rejecting`` ones have named times before which they
-    want nothing from the instance.
+    ``unreachable`` upstreams have accepted no connection of this instance lately.
+    ``demand_snapshot`` is sent once to each new leader, which has received nothing before.
+    ``address`` is that of the instance's peer server. ``leaving`` upstreams have announced it
+    in their responses, and are not yet marked so in the list. ``rejecting`` upstreams have
+    named a time before which the instance must not send them requests.
     """
 
     instance: str
@@ -108,17 +109,17 @@
 
 
 class ResidencyEntry(msgspec.Struct, array_like=True):
-    """What an upstream holds: adapters by model."""
+    """The adapters that are resident at an upstream, by resident model."""
 
     upstream: str
     adapters_by_model: dict[str, list[str]]
 
 
 class StoreUpdate(msgspec.Struct, array_like=True):
-    """What the order giver has read from the store, so that the others need not.
+    """What the leader has read from the store, so that the other instances need not.
 
-    ``lease_version`` is the row version of its newest renewal. Of the configuration it
-    tells the version in force, confirmed ``configuration_age`` seconds ago.
+    ``lease_version`` is the row version of the newest lease renewal. ``configuration`` is
+    the version in force, confirmed ``configuration_age`` seconds ago.
     """
 
     lease_version: int
@@ -128,19 +129,22 @@
 
 
 class LeaderUpdate(msgspec.Struct, array_like=True):
-    """From the order giver to each instance.
-
-    ``residency`` tells all upstreams where ``residency_complete``, else those whose holdings have
-    changed in the last second; ``ready_in`` gives seconds by unit that is being
-    loaded. ``loads`` are the sums over all instances, each of which takes off what it
-    has told itself: one entry an upstream for each instance would grow with the
-    square of the deployment. They are None in news between the regular ones.
-    ``instances`` were heard of lately. ``failure_ratios`` are the parts of their requests that
-    upstreams fail over all instances, told with the regular news as ``grants`` are.
-    ``peers`` are addresses of some instances, told with all that is held. ``rate_limits``
-    are those of upstreams: all in regular news, else those with new permits. ``leaving``
-    upstreams have said so to any instance, and the list does not yet. It was sent at
-    ``sent_at`` by the giver's monotonic clock.
+    """An update from the leader to each instance.
+
+    ``residency`` has all upstreams if ``residency_complete``, else only those whose resident
+    models or adapters changed in the last second. ``ready_in`` has the seconds left, by unit
+    that is being loaded.
+
+    ``loads`` are sums over all instances, from which each instance subtracts its own part:
+    one entry per upstream and instance would grow with the square of the deployment.
+    ``failure_ratios`` are the fractions of requests that upstreams fail, over all instances.
+    Only periodic updates have ``loads``, ``failure_ratios`` and ``grants``.
+
+    ``instances`` is the number of instances seen lately. ``peers`` are the addresses of some
+    of them, sent together with the complete residency. ``rate_limits`` are those of all
+    upstreams in periodic updates, else of those with new permits. ``leaving`` upstreams have
+    announced it to any instance, and are not yet marked so in the list. ``sent_at`` is the
+    send time by the leader's monotonic clock.
     """
 
     leader: str
@@ -159,7 +163,7 @@
     sent_at: float = 0.0
 
     def delayed(self, seconds: float) -> "LeaderUpdate":
-        """Return the news as they are after ``seconds`` on their way."""
+        """Return the update with ``seconds`` of delay added to its ages; late permits are void."""
         upstreams = msgspec.structs.replace(
             self.store.upstreams, age=self.store.upstreams.age + seconds
         )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/update_schedule.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/update_schedule.py
@@ -1,4 +1,4 @@
-"""What the order giver's next news must tell."""
+"""What the leader's next update must contain."""
 
 import time
 from collections.abc import Iterable, Mapping
@@ -7,26 +7,27 @@
 from redwingscale_daemon._internal.fleet.upstream import Upstream
 from redwingscale_daemon._internal.swaps.messages import ResidencyEntry, StoreUpdate
 
-# News go out when something changes, and at least this often.
+# Interval of the periodic updates; others are sent between them when something changes.
 UPDATE_SECONDS = 0.25
-# All that is held is told this often, for instances whose link was lost for a while.
+# Interval of the full residency, for instances that were disconnected for a while.
 FULL_RESIDENCY_SECONDS = 2.0
-# All that is held is told no more often than this for each instance that hears it: 78
-# workers are 10 KB, and to some two hundred instances that join one after the other as
-# many messages would fill the giver's link.
+# Least interval of the full residency, per instance that receives it. The residency of 78
+# workers takes 10 KB: sent again to all for each of some two hundred instances that join
+# one after the other, it would fill the leader's link.
 FULL_RESIDENCY_SECONDS_PER_INSTANCE = 0.004
-# A change is told again for this long: a message may be lost.
+# A change is repeated in each update for this long, as an update may be lost.
 RESIDENCY_CHANGE_REPEAT_SECONDS = 1.0
 
+# What is being loaded, the changed upstreams, the ids of those gone, the configuration version.
 _OtherContent = tuple[frozenset[str], list[Upstream], list[str], int]
 
 
 class UpdateSchedule:
-    """Remembers what was told, so that news between the regular ones hold changes only.
+    """Remembers what was sent, so that updates between the periodic ones contain changes only.
 
-    What 45 workers hold takes 3 KB and changes some thirty times a second, mostly by
-    one adapter: told whole each time to 69 instances, that is more than a link of
-    10 Mbit/s carries, and requests on that machine waited for seconds.
+    The residency of 45 workers takes 3 KB and changes some thirty times a second, mostly by
+    one adapter. Sent in full each time to 69 instances, it exceeds a link of 10 Mbit/s, and
+    requests that pass through that machine wait for seconds.
     """
 
     def __init__(self) -> None:
@@ -39,7 +40,7 @@
         self._has_unsent_change = False
 
     def request_full(self) -> None:
-        """Note an instance that knows nothing yet: all that is held is told next."""
+        """Request the full residency in the next update, for an instance without any."""
         self._full_requested = True
 
     def residency(
@@ -49,10 +50,10 @@
         periodic: bool,
         instances: int = 0,
     ) -> tuple[list[ResidencyEntry], bool]:
-        """Return the entries to tell, and whether they are all there are.
+        """Return the entries of the next update, and whether they are the full residency.
 
-        ``regular`` news are sent in any case, others only where something is new.
-        ``instances`` hear them.
+        A ``periodic`` update is sent in any case, another one only if something has changed.
+        ``instances`` is the number of instances that receive it.
         """
         now = time.monotonic()
         self._note_changes(resident_by_upstream, now)
@@ -71,7 +72,7 @@
         return recent, False
 
     def has_changes(self, loading: Iterable[str], store: StoreUpdate) -> bool:
-        """Return whether the news tell something that no earlier ones have told."""
+        """Return whether the update contains anything that no earlier one contained."""
         upstreams = store.upstreams
         other_content = (frozenset(loading), upstreams.changed, upstreams.gone, store.configuration)
         changed = self._has_unsent_change or other_content != self._other_content
@@ -79,7 +80,7 @@
         return changed
 
     def periodic_due(self) -> bool:
-        """Return whether news are due without a change; they hold the loads then."""
+        """Return whether a periodic update is due, which is sent without a change as well."""
         now = time.monotonic()
         due = now - self._periodic_at >= UPDATE_SECONDS
         if due:
@@ -98,7 +99,8 @@
         }
         changed = [key for key, entry in entries.items() if self._entries.get(key) != entry]
         if self._entries.keys() - entries.keys():
-            # One whose holdings are unknown now, or that is gone: only all can tell that.
+            # The residency of an upstream is unknown now, or the upstream is gone: only the full
+            # residency conveys that, by leaving it out.
             self._full_requested = True
         self._entries = entries
         self._changed_at = {
