--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_client.py
@@ -1,4 +1,4 @@
-"""Asks other instances while neither the store nor the order giver tells."""
+"""Queries other instances while neither the store nor the leader gives current data."""
 
 import random
 import time
@@ -16,16 +16,16 @@
 from redwingscale_daemon._internal.swaps.peer_server import PeerRequest, PeerResponse
 
 MAX_PEERS = 32
-# A peer that is turned away as well is followed by another one.
+# A peer may be rejected by the store as well; another one is queried then.
 MAX_QUERIES_PER_STEP = 4
 RESPONSE_TIMEOUT_MS = 400
-# What a peer knows to be in force is told on within this time.
+# A configuration that a peer knew to be in force within this time ends the queries.
 FRESH_CONFIGURATION_SECONDS = 1.5
 MAX_TABLE_BYTES = 32 << 20
 
 
 class PeerClient:
-    """Remembers peers that the order giver names, and asks some of them in turn."""
+    """Remembers the peers that the leader announces, and queries some of them in turn."""
 
     def __init__(
         self,
@@ -38,13 +38,13 @@
         self._needed = needed
         self._learn_leader = learn_leader
         self._own_address = own_address
-        # By address, when last named.
+        # When each address was last announced.
         self._announced_at: dict[str, float] = {}
-        # Not for secrets: it only spreads questions.
+        # Not for secrets: it only spreads the queries.
         self._random = random.Random()
 
     def remember(self, peers: Iterable[str]) -> None:
-        """Remember ``peers``, the newest ones."""
+        """Remember ``peers``; only the `MAX_PEERS` announced last are kept."""
         now = time.monotonic()
         announced_at = self._announced_at | dict.fromkeys(peers, now)
         announced_at.pop(self._own_address(), None)
@@ -52,17 +52,17 @@
         self._announced_at = {address: announced_at[address] for address in newest}
 
     def addresses(self) -> list[str]:
-        """Return the addresses of the peers that are remembered."""
+        """Return the addresses of the remembered peers."""
         return list(self._announced_at)
 
     def push(self, address: str, rates: list[RateLimitEntry]) -> None:
-        """Tell one peer of rates that have changed, and take its answer."""
+        """Send changed rate limits to a peer, and apply its response."""
         response = self._query(address, rates)
         if response is not None:
             self._apply(address, response)
 
     def step(self) -> None:
-        """Ask until a peer answers that knows what is in force now, if that is needed."""
+        """Query peers, if needed, until one knows the configuration that is in force now."""
         if not self._needed():
             return
         addresses = self.addresses()
@@ -75,7 +75,7 @@
                 return
 
     def fetch(self, address: str, version: int) -> bool:
-        """Ask one peer; return whether a configuration of ``version`` or later is in force."""
+        """Query a peer; return whether the configuration here has ``version`` or a later one."""
         response = self._query(address)
         if response is not None:
             self._apply(address, response)
@@ -85,7 +85,7 @@
     def _query(self, address: str, rates: Sequence[RateLimitEntry] = ()) -> PeerResponse | None:
         table = self._routes.get()
         request = PeerRequest(table.version if table else 0, list(rates))
-        # Without a resend time it would ask again by itself.
+        # By default the socket resends a request by itself; -1 disables that.
         options = {
             "send_timeout": RESPONSE_TIMEOUT_MS,
             "recv_timeout": RESPONSE_TIMEOUT_MS,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_server.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/peer_server.py
@@ -1,4 +1,4 @@
-"""Answers other instances that the store turns away."""
+"""Serves the configuration and the leader's row to instances that the store rejects."""
 
 import threading
 import zlib
@@ -19,17 +19,18 @@
 
 
 class PeerRequest(msgspec.Struct, array_like=True):
-    """What an instance knows: the version of its configuration, rates that have changed."""
+    """The version of the sender's configuration, and rate limits that have changed there."""
 
     configuration: int
     rates: list[RateLimitEntry] = []
 
 
 class PeerResponse(msgspec.Struct, array_like=True):
-    """``table`` is the configuration where it is newer than the asker's, else empty.
+    """The configuration and the leader as known to the peer.
 
-    ``lease_version`` and ``leader`` are the order giver's row as last read or told;
-    ``age`` seconds ago the configuration was known to be in force.
+    ``table`` is the configuration if it is newer than the requester's, else empty; it was
+    last known to be in force ``age`` seconds ago. ``lease_version`` and ``leader`` are the
+    leader's row as last read or received.
     """
 
     configuration: int
@@ -40,14 +41,14 @@
 
 
 class LeaseState(NamedTuple):
-    """The order giver's row as an instance knows it."""
+    """The leader's row as known to an instance."""
 
     row_version: int
     record: LeaderRecord | None
 
 
 class PeerServer:
-    """Listens on a port of its own; each question has one answer."""
+    """Listens on a port of its own, and sends one response to each request."""
 
     def __init__(
         self,
@@ -71,11 +72,11 @@
 
     @property
     def address(self) -> str:
-        """Where other instances reach it."""
+        """The address at which other instances reach this server."""
         return f"{self._host}:{self.port}"
 
     def start(self) -> None:
-        """Listen; raise OSError when the port is taken."""
+        """Listen on the port; raise `OSError` if it is in use."""
         self.port = open_port(self._socket, f"tcp://{self._host}:{self.port}")
         self._thread.start()
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/permit_issuer.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/permit_issuer.py
@@ -1,4 +1,4 @@
-"""Issues permits to send to upstreams with a rate limit."""
+"""Issues permits to send requests to upstreams with a rate limit."""
 
 import threading
 import time
@@ -11,14 +11,15 @@
 from redwingscale_daemon._internal.fleet.rate_limits import MIN_PER_SECOND
 from redwingscale_daemon._internal.fleet.send_permits import MAX_DELAY_SECONDS, PERMIT_SECONDS
 
-# What an instance has told counts for this long without further news of it.
+# How long an entry counts after the update of the instance that contained it.
 ENTRY_FRESH_SECONDS = 1.0
-# Permits that are saved up while nobody asks.
+# The most permits that accumulate while no instance needs any: those of CAPACITY_SECONDS,
+# or MIN_CAPACITY_PERMITS if these are more.
 MIN_CAPACITY_PERMITS = 2.0
 CAPACITY_SECONDS = 0.5
-# Requests just before a limit was advertised count in its first window as well.
+# Negative, as requests sent just before a limit was advertised count in its first window.
 INITIAL_LEVEL_PERMITS = -1.5
-# Another order giver may have issued permits until a moment before this one begins.
+# The former leader may have issued permits until just before this one begins.
 HANDOVER_PAUSE_SECONDS = PERMIT_SECONDS + MOST_DELAY_SECONDS
 
 
@@ -28,7 +29,7 @@
 
 
 class _Bucket:
-    """One upstream's limit as of ``seen_at``, and the permits that it leaves."""
+    """The token bucket of one upstream; ``per_second`` is its limit as observed at ``seen_at``."""
 
     def __init__(self, now: float) -> None:
         self.per_second: float | None = None
@@ -36,16 +37,16 @@
         self.level = INITIAL_LEVEL_PERMITS
         self.refilled_at = now
         self.received_by_instance: dict[str, _Received] = {}
-        # Whoever was issued to least recently is next.
+        # For a turn among instances: the one issued to least recently is next.
         self.issued_at_by_instance: dict[str, float] = {}
 
 
 class PermitIssuer:
-    """Keeps one token bucket an upstream, for all instances together.
+    """Keeps one token bucket per upstream, for all instances together.
 
-    Instances that each kept the limit by themselves would send many times as much, and even
-    parts are of no use where few instances are asked. A permit that one place issues is
-    counted once, however many instances there are.
+    Instances that each applied the limit separately would together send many times as much.
+    Equal shares of the limit would be wasted if only a few instances have requests for the
+    upstream. A permit issued in one place counts once, whatever the number of instances.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         is_listed: Callable[[str], bool] = lambda _: True,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        # What this instance knows by itself, until it has heard of the others.
+        # The limits known to this instance itself, until updates of the others arrive.
         self._limited_ids = limited_ids
         self._is_listed = is_listed
         self._clock = clock
@@ -65,13 +66,17 @@
         self._leading_since = clock()
 
     def begin(self) -> None:
-        """Forget all: what another order giver has issued is not known."""
+        """Drop all state when this instance becomes the leader.
+
+        The permits issued by the former leader are unknown, so none are issued during the
+        handover pause.
+        """
         with self._lock:
             self._by_id = {}
             self._leading_since = self._clock()
 
     def receive(self, instance: str, entries: Iterable[RateLimitEntry]) -> bool:
-        """Take what ``instance`` tells; return whether requests wait there, or a limit is new."""
+        """Take the entries of an update; return whether requests wait or a limit has changed."""
         now = self._clock()
         waiting, changed = 0, False
         with self._lock:
@@ -90,7 +95,7 @@
         return changed or waiting > 0
 
     def draw(self, upstream_id: str) -> bool:
-        """Use up one permit for a call of the order giver itself."""
+        """Use one permit for a call of the leader itself; return whether the call is allowed."""
         with self._lock:
             bucket = self._by_id.get(upstream_id)
             if bucket is None:
@@ -103,9 +108,9 @@
             return True
 
     def issue(self, *, all_limits: bool) -> list[PermitEntry]:
-        """Return the limits with the permits issued now.
+        """Issue permits; return the limits of the upstreams for which any were issued.
 
-        With ``all_limits``, and where one has changed, also those without any.
+        With ``all_limits``, or if any limit has changed, return the limits of all upstreams.
         """
         with self._lock:
             all_limits, self._limit_changed = all_limits or self._limit_changed, False
@@ -113,7 +118,7 @@
         return [entry for entry in entries if all_limits or entry.permits_by_instance]
 
     def forget(self, upstream_ids: set[str]) -> None:
-        """Drop upstreams that are gone."""
+        """Drop the state of upstreams that are gone."""
         with self._lock:
             for key in upstream_ids:
                 self._by_id.pop(key, None)
@@ -144,10 +149,11 @@
     def _distribute(
         self, bucket: _Bucket, entries_by_instance: dict[str, RateLimitEntry], now: float
     ) -> dict[str, int]:
-        """Issue to where requests have waited longest, for want of another upstream.
+        """Issue permits, first to the instances whose requests have waited longest.
 
-        Those that could use this one beside others get only what nobody has waited for:
-        their answers tell that a limit has ended.
+        These requests have no other upstream. Instances that could also use other upstreams
+        get permits only if no request waits and the bucket has `MIN_CAPACITY_PERMITS`: the
+        responses to their requests show when the limit has ended.
         """
         left = max(0, int(self._refill(bucket)))
         recipients = sorted(
@@ -181,5 +187,5 @@
 
 
 def _usable_permits(entry: RateLimitEntry) -> int:
-    """Return how many permits an instance can use before they are void."""
+    """Return how many permits an instance can use before they expire."""
     return max(1, entry.waiting, round(entry.used * PERMIT_SECONDS))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limit_gossip.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limit_gossip.py
@@ -1,4 +1,4 @@
-"""Tells other instances of rate limits while nobody gives orders."""
+"""Sends changed rate limits to other instances while there is no leader."""
 
 import random
 import threading
@@ -12,9 +12,10 @@
 from redwingscale_daemon._internal.fleet.rate_limit_messages import RateLimitEntry
 from redwingscale_daemon._internal.fleet.rate_limits import RateLimits
 
-# Peers that each instance tells of what it has just learned; they tell others.
+# The number of peers to which an instance sends a change; they forward it to others.
 FANOUT = 4
-# A change is kept for so long, in case the order giver has just been lost.
+# A change stays pending for this long, in case the leader was lost just before it and its
+# silence is not detected yet.
 PENDING_SECONDS = 1.0
 CHECK_SECONDS = 0.1
 
@@ -31,11 +32,11 @@
 
 
 class RateLimitGossip:
-    """Passes changes on from instance to instance.
+    """Forwards changes of rate limits from instance to instance.
 
-    The order giver tells all within a quarter of a second. Without one, each of a hundred
-    instances would learn of a limit by a request of its own, and those alone are more than
-    the limit.
+    A leader announces a change to all instances within a quarter of a second. Without a
+    leader, each of a hundred instances would learn of a limit by a request of its own, and
+    these requests alone would exceed the limit.
     """
 
     def __init__(
@@ -51,19 +52,19 @@
         self._push = push
         self._wake = threading.Event()
         self._stopped = False
-        # What has changed and was not passed on yet, by upstream.
+        # Changes that were not forwarded, by upstream id.
         self._pending_by_id: dict[str, _Pending] = {}
-        # Not for secrets: it only spreads messages.
+        # Not for secrets: it only spreads the messages.
         self._random = random.Random()
         self._thread = threading.Thread(target=self._run, name="rate-gossip", daemon=True)
         rates.on_change(self._wake.set)
 
     def start(self) -> None:
-        """Begin to wait for changes."""
+        """Start the thread that waits for changes."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End it."""
+        """Stop the thread."""
         self._stopped = True
         self._wake.set()
         self._thread.join(1.0)
@@ -75,7 +76,7 @@
             self.check(time.monotonic())
 
     def check(self, now: float) -> None:
-        """Pass on what has changed lately, if no order giver is heard."""
+        """Forward the recent changes if the leader is silent."""
         changed = {entry.upstream: _Pending(entry, now) for entry in self._rates.drain_changed()}
         pending = self._pending_by_id | changed
         self._pending_by_id = {
