--- a/packages/redwingscale-daemon/tests/unit/swaps/test_late_updates.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_late_updates.py
@@ -1,4 +1,4 @@
-"""News of the order giver that a link brings late."""
+"""Updates of the leader that arrive late."""
 
 import time
 
@@ -15,11 +15,11 @@
 
 from .conftest import until
 
-HELD_SECONDS = 1.0
-# Of the time that news were held up, what may not be told from a calm link's delay.
-UNSEEN_SECONDS = 0.2
+DELAY_SECONDS = 1.0
+# The part of a delay that may go undetected, as a healthy link has some delay as well.
+UNDETECTED_SECONDS = 0.2
 STORE = StoreUpdate(1, ListUpdate([], [], 0.0, 0, 0), 1, 0.0)
-UPDATE = LeaderUpdate("giver", 1, [], False, {}, None, 1, STORE)
+UPDATE = LeaderUpdate("leader", 1, [], False, {}, None, 1, STORE)
 
 
 class Lease:
@@ -45,36 +45,40 @@
 
 
 @pytest.fixture
-def heard(server, path):
-    """News as an instance takes them over ``path``."""
-    told = []
-    lease = Lease(LeaderRecord("giver", "127.0.0.1", path.port, server.needs_port, "start"))
+def received(server, path):
+    """The updates that an instance receives over ``path``."""
+    updates = []
+    lease = Lease(LeaderRecord("leader", "127.0.0.1", path.port, server.needs_port, "start"))
     client = LeaderClient(
-        lease, "one", lambda _: InstanceUpdate("one", [], [], [], []), told.append, lambda _: None
+        lease,
+        "one",
+        lambda _: InstanceUpdate("one", [], [], [], []),
+        updates.append,
+        lambda _: None,
     )
     client.start()
 
-    def linked():
+    def connected():
         server.publish(UPDATE)
-        return bool(told)
+        return bool(updates)
 
-    assert until(linked)
-    yield told
+    assert until(connected)
+    yield updates
     client.stop()
 
 
-def test_news_that_were_held_up_on_their_way_are_as_old_as_that(server, path, heard):
-    # Guards against old news that are taken for new: a change that they lack is missed.
+def test_age_of_a_delayed_update_includes_the_delay(server, path, received):
+    # Guards against delayed updates that pass for current: a change that they lack is missed.
     path.hold_from = True
-    time.sleep(UNSEEN_SECONDS)
-    before = len(heard)
+    time.sleep(UNDETECTED_SECONDS)
+    before = len(received)
     server.publish(UPDATE)
-    time.sleep(HELD_SECONDS)
+    time.sleep(DELAY_SECONDS)
     path.heal()
-    assert until(lambda: len(heard) > before)
-    store = heard[before].store
-    assert store.configuration_age >= HELD_SECONDS - UNSEEN_SECONDS
-    assert store.upstreams.age >= HELD_SECONDS - UNSEEN_SECONDS
+    assert until(lambda: len(received) > before)
+    store = received[before].store
+    assert store.configuration_age >= DELAY_SECONDS - UNDETECTED_SECONDS
+    assert store.upstreams.age >= DELAY_SECONDS - UNDETECTED_SECONDS
 
 
 @pytest.fixture
@@ -84,8 +88,8 @@
     return now
 
 
-def test_difference_of_two_clocks_is_no_delay(clock):
-    # Guards against instances that trust no news as the giver's clock shows another time.
+def test_offset_between_two_clocks_is_no_delay(clock):
+    # Guards against instances that reject all updates because the leader's clock is offset.
     delay = UpdateDelay()
     assert delay.seconds("a", clock[0] - 500.0) == 0.0
     assert delay.seconds("a", clock[0] - 501.5) == pytest.approx(1.5)
@@ -93,7 +97,7 @@
 
 
 def test_clocks_that_run_at_different_rates_are_no_delay(clock):
-    # Guards against news that seem late after days of uptime.
+    # Guards against updates that seem late after days of uptime.
     delay = UpdateDelay()
     late = []
     for second in range(0, 100_000, 100):
@@ -102,8 +106,8 @@
     assert max(late) < 0.1
 
 
-def test_news_that_wait_behind_each_other_stay_late(clock):
-    # Guards against a full link whose delay is taken for the normal one.
+def test_updates_that_queue_behind_each_other_stay_late(clock):
+    # Guards against a congested link whose delay is taken for the normal one.
     delay = UpdateDelay()
     delay.seconds("a", clock[0])
     for _ in range(1000):
@@ -113,8 +117,8 @@
 
 
 @pytest.mark.parametrize(("seconds", "permits"), [(0.1, 3), (2.0, 0)])
-def test_permits_that_come_late_are_void(seconds, permits):
-    # Guards against permits of two order givers that are used at the same time.
+def test_permits_that_arrive_late_are_void(seconds, permits):
+    # Guards against permits of two leaders that are used at the same time.
     entry = PermitEntry("u", 1.0, 0.2, 0, {"one": 3})
     update = msgspec.structs.replace(UPDATE, rate_limits=[entry]).delayed(seconds)
     assert update.rate_limits[0].permits_by_instance.get("one", 0) == permits
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_leader_lease.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_leader_lease.py
@@ -1,4 +1,4 @@
-"""One instance gives orders at any time, whatever happens to it or to the store."""
+"""At most one instance leads at any time, whatever happens to it or to the store."""
 
 import msgspec
 import pytest
@@ -30,7 +30,7 @@
     return make
 
 
-def test_first_instance_gives_orders_at_once(make_lease):
+def test_first_instance_may_send_orders_at_once(make_lease):
     lease = make_lease("a")
     lease.step()
     assert lease.fence() == 1
@@ -47,10 +47,10 @@
         assert second.fence() is None
 
 
-def test_orders_of_two_givers_never_take_turns(make_lease, clock):
-    # The first giver is cut off from the store but not from the workers: its last
-    # order may go out just before it stops, and the second one's must come later
-    # by the whole quiet time.
+def test_orders_of_two_leaders_never_interleave(make_lease, clock):
+    # The first leader is cut off from the store but not from the workers: it may send its
+    # last order right before it stops, and the first order of its successor must come later
+    # by the whole handover pause.
     first, second = make_lease("a"), make_lease("b")
     first.step()
     second.step()
@@ -66,16 +66,16 @@
     assert second.fence() > 1
 
 
-def test_frozen_giver_sends_nothing_when_it_wakes(make_lease, clock):
-    # The process stands still past its lease and wakes right before an order: the
-    # clock also counts the freeze, and the right is asked for at each order.
+def test_suspended_leader_sends_no_order_when_it_resumes(make_lease, clock):
+    # The process is suspended past its lease and resumes right before an order: the clock
+    # also counts while it is suspended, and `fence` is called for each order.
     lease = make_lease("a")
     lease.step()
     clock.now += TIMING.order_seconds
     assert lease.fence() is None
 
 
-def test_giver_that_lost_its_row_stops(make_lease, clock):
+def test_leader_whose_row_was_taken_stops(make_lease, clock):
     first, second = make_lease("a"), make_lease("b")
     first.step()
     second.step()
@@ -86,7 +86,7 @@
     assert not first.is_leader
 
 
-def test_lost_answer_to_a_renewal_keeps_the_lease(make_lease, clock, store):
+def test_lost_response_to_a_renewal_keeps_the_lease(make_lease, clock, store):
     lease = make_lease("a")
     lease.step()
     clock.now += 0.5
@@ -101,7 +101,7 @@
     assert lease.fence() == 1
 
 
-def test_lost_answer_to_the_first_write_is_found_out(make_lease, clock, store):
+def test_lost_response_to_the_first_write_is_recovered(make_lease, clock, store):
     lease = make_lease("a")
     store.lose_answer = WriteUnknown("no answer")
     with pytest.raises(WriteUnknown):
@@ -111,7 +111,7 @@
     assert lease.fence() is not None
 
 
-def test_orders_end_while_the_store_is_away(make_lease, clock, store):
+def test_orders_stop_while_the_store_is_unavailable(make_lease, clock, store):
     lease = make_lease("a")
     lease.step()
     store.fail = PlatformUnavailable("down")
@@ -136,17 +136,17 @@
     assert second.fence() is None
 
 
-def test_restarted_instance_is_another_holder(make_lease, clock):
-    # The giver's process is killed and comes back under the same name: orders of
-    # its former life may still be on their way.
+def test_restarted_instance_is_another_lease_holder(make_lease, clock):
+    # The leader's process is killed and restarts under the same name: orders of the former
+    # process may still be in flight.
     make_lease("a", "1").step()
-    again = make_lease("a", "2")
-    again.step()
-    assert again.fence() is None
-    assert not again.is_leader
+    restarted = make_lease("a", "2")
+    restarted.step()
+    assert restarted.fence() is None
+    assert not restarted.is_leader
 
 
-def test_row_that_cannot_be_read_is_no_holder(make_lease, store):
+def test_row_that_cannot_be_decoded_has_no_lease_holder(make_lease, store):
     lease = make_lease("a")
     lease.step()
     store.row = store.row._replace(value=msgspec.json.encode("nonsense"))
@@ -155,9 +155,9 @@
     assert other.is_leader
 
 
-def test_giver_that_has_released_takes_nothing_again(make_lease, clock):
-    # A planned stop releases the lease, and the process goes on for some seconds to
-    # finish its requests: taking the free row again, it would give orders and end.
+def test_leader_that_released_the_lease_never_takes_it_again(make_lease, clock):
+    # A planned stop releases the lease, and the process continues for some seconds to finish
+    # its requests: if it took the free row again, it would lead and then stop.
     lease = make_lease("a")
     lease.step()
     lease.release()
@@ -168,10 +168,10 @@
         assert lease.fence() is None
 
 
-def test_quiet_time_outlasts_a_lapse_of_the_own_lease(make_lease, clock, store):
-    # A giver has just taken over and must be silent yet; the store is away for a
-    # moment, its own lease lapses, and it takes its own row again. The former
-    # giver's last order is no older for that.
+def test_handover_pause_outlasts_a_lapse_of_the_own_lease(make_lease, clock, store):
+    # A new leader is still in its handover pause when the store becomes unavailable for a
+    # moment: its own lease lapses, and it takes its own row again. That must not shorten the
+    # pause after the former leader's last order.
     first, second = make_lease("a"), make_lease("b")
     first.step()
     second.step()
@@ -193,17 +193,17 @@
     assert TIMING.handover_pause_seconds <= since_release <= TIMING.handover_pause_seconds + 0.5
 
 
-def test_lease_counts_from_the_holders_last_news(make_lease, clock):
-    # The giver's news come, so nobody reads its row. It dies; the others first read
-    # the row when the news have been missing for a while. The version there is the
-    # one that the news told: the lease is as old as that, not as that first read.
+def test_lease_counts_from_the_last_update_of_its_holder(make_lease, clock):
+    # While the leader's updates arrive, no instance reads its row. The leader is killed, and
+    # the others read the row only after some time without updates. They find the version
+    # that was announced: the lease counts from that announcement, not from this first read.
     first, second = make_lease("a"), make_lease("b")
     first.step()
     second.step()
     clock.now += 0.5
     first.step()
     second.note_renewal(first.row_version)
-    heard_at = clock.now
+    announced_at = clock.now
     clock.now += 2.4
     second.step()
     assert not second.is_leader
@@ -214,11 +214,11 @@
         clock.now += 0.1
         second.step()
     longest = TIMING.order_seconds + TIMING.handover_pause_seconds
-    assert longest <= clock.now - heard_at <= longest + 0.2
+    assert longest <= clock.now - announced_at <= longest + 0.2
 
 
-def test_renewal_after_the_last_news_starts_the_count_anew(make_lease, clock):
-    # Only the link between the two has gone silent: the giver goes on renewing.
+def test_renewal_after_the_last_update_restarts_the_count(make_lease, clock):
+    # Only the link between the two instances is silent: the leader still renews its lease.
     first, second = make_lease("a"), make_lease("b")
     first.step()
     second.step()
@@ -233,8 +233,8 @@
 
 
 def test_small_machine_leaves_the_lease_to_others_for_a_while(make_lease, clock):
-    # The order giver tells its news to all instances: on a machine with a link of
-    # 10 Mbit/s the requests that pass through it waited behind them for seconds.
+    # The leader sends its updates to all instances: on a machine with a link of 10 Mbit/s,
+    # the requests that pass through it would wait behind them for seconds.
     small = make_lease("a", timing=TIMING._replace(standby_seconds=0.75))
     large = make_lease("b")
     small.step()
@@ -251,10 +251,10 @@
     assert small.is_leader
 
 
-def test_next_giver_is_found_with_few_calls(make_lease, clock, store):
-    # The order giver is killed among hundreds of instances: each of them read its row
-    # twice a second until the next one was there, thousands of calls in a hand-over.
-    # One that waits at the store for a change learns of the next giver at once.
+def test_new_leader_is_found_with_few_calls(make_lease, clock, store):
+    # The leader is killed among hundreds of instances. If each of them read its row twice a
+    # second until there is a new leader, a handover would take thousands of calls. An
+    # instance that waits at the store for a change finds the new leader at once.
     first, second = make_lease("a"), make_lease("b")
     third = make_lease("c", timing=TIMING._replace(standby_seconds=0.75))
     first.step()
@@ -274,7 +274,7 @@
     assert not third.is_leader
 
 
-def test_row_that_nobody_renews_is_taken_by_who_watches_it(make_lease, clock, store):
+def test_row_without_renewals_is_taken_by_the_instance_that_watches_it(make_lease, clock, store):
     first, second = make_lease("a"), make_lease("b")
     first.step()
     store.calls.clear()
@@ -289,9 +289,9 @@
     assert store.calls == ["read", "changes", "changes"]
 
 
-def test_watch_goes_on_after_a_gap_of_the_history(make_lease, clock, store):
-    # The store drops its history while an instance waits: what it knows may be old, so
-    # the row itself is read again.
+def test_watch_continues_after_a_gap_in_the_history(make_lease, clock, store):
+    # The store drops its history while an instance waits: its copy of the row may be stale,
+    # so it reads the row again.
     first, second = make_lease("a"), make_lease("b")
     first.step()
     second.watch(1.5)
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_local_demand.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_local_demand.py
@@ -1,4 +1,4 @@
-"""What an instance tells the order giver of its callers' requests."""
+"""The demand that an instance sends to the leader."""
 
 import time
 
@@ -16,14 +16,14 @@
 UNIT = Unit("a")
 
 
-def test_request_that_a_full_holder_missed_is_told_once():
+def test_overload_is_sent_once():
     local_demand = LocalDemand()
     local_demand.note_overload("llm", UNIT)
     assert [entry.overloads for entry in local_demand.drain()] == [1]
     assert local_demand.drain() == []
 
 
-def test_wait_is_told_until_it_ends():
+def test_wait_is_sent_until_it_ends():
     local_demand = LocalDemand()
     local_demand.begin_wait("llm", UNIT, 3.0)
     for _ in range(2):
@@ -34,7 +34,7 @@
 
 
 def update_of(unit, priority, waits):
-    """Return what an instance tells of ``waits`` requests that no upstream holds."""
+    """Return an update with ``waits`` requests for a unit that has no holder."""
     local_demand = LocalDemand()
     for number in range(waits):
         terms = Terms(f"r{number}", 12.0, Prompt(unit, 1000, 100, ()), None)
@@ -56,21 +56,21 @@
     assert Urgency(9).weight > 0
 
 
-def test_an_urgent_request_gets_its_model_before_more_that_are_not(engine):
-    # The most urgent kind asks for rare models, one request each; less urgent ones asked
-    # for another rare model a little more often, took the only place, and the urgent ones
-    # were refused five times as often.
+def test_urgent_requests_get_their_model_before_more_that_are_less_urgent(engine):
+    # The most urgent requests are for rare models, one request each. Without weights, less
+    # urgent requests for another rare model, a little more frequent, take the only place,
+    # and the urgent ones are refused five times as often.
     swap = swap_for(engine, update_of(Unit("c"), 2, waits=4), update_of(Unit("d"), 0, waits=3))
     assert swap.model.name == "d"
 
 
-def test_many_that_are_less_urgent_outweigh_one(engine):
+def test_many_less_urgent_requests_outweigh_a_few_urgent_ones(engine):
     swap = swap_for(engine, update_of(Unit("c"), 2, waits=20), update_of(Unit("d"), 0, waits=2))
     assert swap.model.name == "c"
 
 
-def test_a_less_urgent_request_is_not_starved(engine, monkeypatch):
-    # Alone it pays for no load; each second that it is asked for in vain counts.
+def test_less_urgent_request_is_not_starved(engine, monkeypatch):
+    # One such request does not justify a load, but each second without its model counts.
     real, offset = time.monotonic, [0.0]
     monkeypatch.setattr(time, "monotonic", lambda: real() + offset[0])
     demand = Demand()
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_peers.py
@@ -1,4 +1,4 @@
-"""What an instance learns from others while the store turns it away."""
+"""What an instance receives from its peers while the store rejects it."""
 
 import socket
 
@@ -27,7 +27,7 @@
 
 
 class Peer:
-    """An instance's desk, and what it knows."""
+    """The peer server of an instance, and its configuration."""
 
     def __init__(self, newest, age=0.1):
         self.routes = CurrentRoutes()
@@ -52,102 +52,102 @@
         peer.server.stop()
 
 
-class Asker:
-    """An instance that is turned away by the store."""
+class Requester:
+    """An instance that the store rejects."""
 
     def __init__(self):
         self.routes = CurrentRoutes()
         self.needed = True
-        self.givers = []
+        self.leaders = []
         self.client = PeerClient(
             self.routes,
             lambda: self.needed,
-            lambda version, record: self.givers.append((version, record)),
+            lambda version, record: self.leaders.append((version, record)),
             lambda: "127.0.0.1:1",
         )
 
     @property
     def version(self):
-        known = self.routes.get()
-        return known.version if known else None
+        current = self.routes.get()
+        return current.version if current else None
 
 
 @pytest.fixture
-def asker():
-    return Asker()
+def requester():
+    return Requester()
 
 
-def test_table_passes_whole_and_holds_no_key():
+def test_table_is_sent_complete_and_without_keys():
     """Guards against keys in messages between instances."""
     sent = table(3, KEY)
     data = encode_table(sent)
-    got = decode_table(data)
+    received = decode_table(data)
     assert KEY.encode() not in data
-    assert got.version == 3
-    assert list(got.routes) == list(sent.routes)
-    assert got.services_by_name == sent.services_by_name
-    assert got.keys.find(key_digest(KEY)) == sent.keys.find(key_digest(KEY))
+    assert received.version == 3
+    assert list(received.routes) == list(sent.routes)
+    assert received.services_by_name == sent.services_by_name
+    assert received.keys.find(key_digest(KEY)) == sent.keys.find(key_digest(KEY))
 
 
-def test_table_without_keys_stays_one_without_keys():
+def test_table_without_keys_is_decoded_without_keys():
     sent = decode_configuration(msgspec.json.encode(document(1)))
     assert decode_table(encode_table(sent)).keys is None
 
 
-def test_newer_configuration_comes_from_a_peer(start, asker):
-    """Guards against a withdrawn key that still works where the store turns an instance away."""
-    asker.routes.offer(table(1, KEY))
-    asker.client.remember([start(table(2)).server.address])
-    asker.client.step()
-    assert asker.version == 2
-    assert asker.routes.get().keys.find(key_digest(KEY)) is None
-    assert asker.givers == [(7, LEADER)]
+def test_newer_configuration_comes_from_a_peer(start, requester):
+    """Guards against a revoked key that still works in an instance that the store rejects."""
+    requester.routes.offer(table(1, KEY))
+    requester.client.remember([start(table(2)).server.address])
+    requester.client.step()
+    assert requester.version == 2
+    assert requester.routes.get().keys.find(key_digest(KEY)) is None
+    assert requester.leaders == [(7, LEADER)]
 
 
-def test_older_configuration_of_a_peer_is_not_taken(start, asker):
-    asker.routes.offer(table(5))
-    asker.client.remember([start(table(4, KEY)).server.address])
-    asker.client.step()
-    assert asker.version == 5
+def test_older_configuration_of_a_peer_is_not_adopted(start, requester):
+    requester.routes.offer(table(5))
+    requester.client.remember([start(table(4, KEY)).server.address])
+    requester.client.step()
+    assert requester.version == 5
 
 
-def test_peer_that_is_turned_away_too_is_followed_by_another(start, asker):
-    """Guards against an answer of old that ends the questions."""
+def test_peer_that_the_store_rejects_too_is_followed_by_another(start, requester):
+    """Guards against a stale response that ends the queries."""
     peers = [start(table(1, KEY), age=9.0), start(table(1, KEY), age=9.0), start(table(2))]
-    asker.routes.offer(table(1, KEY))
-    asker.client.remember([peer.server.address for peer in peers])
-    asker.client.step()
-    assert asker.version == 2
+    requester.routes.offer(table(1, KEY))
+    requester.client.remember([peer.server.address for peer in peers])
+    requester.client.step()
+    assert requester.version == 2
 
 
-def test_peers_that_are_gone_or_talk_nonsense_are_passed_over(start, asker):
-    with socket.create_server(("127.0.0.1", 0)) as silent, pynng.Rep0() as odd:
-        listener = odd.listen("tcp://127.0.0.1:0")
+def test_peers_that_are_silent_or_invalid_are_skipped(start, requester):
+    with socket.create_server(("127.0.0.1", 0)) as silent, pynng.Rep0() as invalid:
+        listener = invalid.listen("tcp://127.0.0.1:0")
         port = int(str(listener.local_address).rsplit(":", 1)[1])
         addresses = [f"127.0.0.1:{silent.getsockname()[1]}", f"127.0.0.1:{port}"]
-        asker.client.remember([*addresses, start(table(2)).server.address])
-        asker.client.step()
-    assert asker.version == 2
+        requester.client.remember([*addresses, start(table(2)).server.address])
+        requester.client.step()
+    assert requester.version == 2
 
 
-def test_nobody_is_asked_without_need(start, asker):
-    asker.needed = False
-    asker.client.remember([start(table(2)).server.address])
-    asker.client.step()
-    assert asker.version is None
+def test_no_peer_is_queried_without_need(start, requester):
+    requester.needed = False
+    requester.client.remember([start(table(2)).server.address])
+    requester.client.step()
+    assert requester.version is None
 
 
-def test_no_table_is_sent_to_an_instance_that_has_it(start, asker):
+def test_no_table_is_sent_to_an_instance_that_has_it(start, requester):
     peer = start(table(2))
-    asker.routes.offer(table(2))
-    asker.client.remember([peer.server.address])
-    asker.client.step()
+    requester.routes.offer(table(2))
+    requester.client.remember([peer.server.address])
+    requester.client.step()
     assert peer.server._compressed_table[0] == 2
-    assert asker.givers == [(7, LEADER)]
+    assert requester.leaders == [(7, LEADER)]
 
 
-def test_lease_row_told_by_a_peer_is_taken_only_if_newer(store):
-    """Guards against a return to a former order giver."""
+def test_lease_row_of_a_peer_is_adopted_only_if_newer(store):
+    """Guards against a return to a former leader."""
     timing = LeaseTiming(2.0, 1.2, 0.3)
     lease = LeaderLease(store, "me", lambda: LEADER, timing)
     lease.adopt_record(9, LEADER)
@@ -157,8 +157,8 @@
     assert lease.row_version == 9
 
 
-def test_rate_that_an_upstream_names_is_passed_on_without_an_order_giver():
-    # Guards against instances that each learn of a rate by a request of their own.
+def test_advertised_rate_limit_is_forwarded_without_a_leader():
+    # Guards against instances that each learn of a limit by a request of their own.
     here, there = RateLimits(), RateLimits()
     routes = CurrentRoutes()
     server = PeerServer(
@@ -169,27 +169,27 @@
     client.remember([server.address])
     gossip = RateLimitGossip(here, client.addresses, lambda: True, client.push)
     gossip.start()
-    here.note_limit("u", 2.0, "answer")
-    until(lambda: there.per_second("u") == 2.0, "the peer's knowledge")
+    here.advertised("u", 2.0, "answer")
+    until(lambda: there.per_second("u") == 2.0, "the limit at the peer")
     gossip.stop()
     server.stop()
 
 
-def test_rate_is_passed_on_only_while_no_order_giver_is_heard():
-    # Guards against messages between all instances beside the order giver's own.
-    rates, told, silent = RateLimits(), [], []
+def test_rate_limit_is_forwarded_only_while_the_leader_is_silent():
+    # Guards against messages between all instances in addition to the leader's updates.
+    rates, sent, silent = RateLimits(), [], []
     gossip = RateLimitGossip(
-        rates, lambda: ["peer"], lambda: bool(silent), lambda *message: told.append(message)
+        rates, lambda: ["peer"], lambda: bool(silent), lambda *message: sent.append(message)
     )
     rates.advertised("u", 2.0, "answer")
     gossip.check(0.0)
     gossip.check(1.1)
     silent.append(True)
     gossip.check(1.2)
-    assert told == []
+    assert sent == []
     silent.clear()
     rates.advertised("u", 3.0, "answer")
     gossip.check(2.0)
     silent.append(True)
     gossip.check(2.6)
-    assert [entry.per_second for _, entries in told for entry in entries] == [3.0]
+    assert [entry.per_second for _, entries in sent for entry in entries] == [3.0]
