--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/leader.py
@@ -257,7 +257,7 @@
         """Return the next update, None if nothing has changed and no periodic one is due."""
         periodic = self._schedule.periodic_due()
         residency, residency_complete = self._schedule.residency(
-            self._workers.resident_by_id(), periodic=regular, instances=len(self._instances)
+            self._workers.resident_by_id(), periodic=periodic, instances=len(self._instances)
         )
         ready_in = self._workers.ready_in_by_model()
         store = self._read(self._changes)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/permit_issuer.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/permit_issuer.py
@@ -20,7 +20,7 @@
 # Negative, as requests sent just before a limit was advertised count in its first window.
 INITIAL_LEVEL_PERMITS = -1.5
 # The former leader may have issued permits until just before this one begins.
-HANDOVER_PAUSE_SECONDS = PERMIT_SECONDS + MOST_DELAY_SECONDS
+HANDOVER_PAUSE_SECONDS = PERMIT_SECONDS + MAX_DELAY_SECONDS
 
 
 class _Received(NamedTuple):
@@ -178,7 +178,7 @@
 
     def _refill(self, bucket: _Bucket) -> float:
         now = self._clock()
-        per_second = max(bucket.per_second or 0.0, LEAST_PER_SECOND)
+        per_second = max(bucket.per_second or 0.0, MIN_PER_SECOND)
         refill_from = max(bucket.refilled_at, self._leading_since + HANDOVER_PAUSE_SECONDS)
         capacity = max(MIN_CAPACITY_PERMITS, per_second * CAPACITY_SECONDS)
         bucket.level = min(capacity, bucket.level + max(0.0, now - refill_from) * per_second)
--- a/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
+++ b/packages/redwingscale-daemon/tests/unit/platform/test_decoding.py
@@ -256,6 +256,6 @@
 
 
 def test_resumed_stream_has_one_last_event_header():
-    headers = exchange.sending_headers((("Last-Event-Id", "3"),), "i-1", 1.5, 2, 7)
+    headers = exchange.attempt_headers((("Last-Event-Id", "3"),), "i-1", 1.5, 2, 7)
     assert [value for name, value in headers if name == "Last-Event-Id"] == ["7"]
     assert ("X-Redwingscale-Deadline-Ms", "1500") in headers
--- a/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
+++ b/packages/redwingscale-daemon/tests/unit/swaps/test_demand_handover.py
@@ -33,7 +33,7 @@
     for model in ("a", "b"):
         expected = counted.model_rate(SERVICE, model)
         assert adopted.model_rate(SERVICE, model) == pytest.approx(expected, rel=0.05)
-    assert adopted.standing(SERVICE, "a") == counted.standing(SERVICE, "a")
+    assert adopted.baseline_requests(SERVICE, "a") == counted.baseline_requests(SERVICE, "a")
 
 
 def test_snapshot_counts_once_per_leader(snapshot):
@@ -44,7 +44,7 @@
     once = demand.model_rate(SERVICE, "a")
     demand.receive(update_with(snapshot))
     assert demand.model_rate(SERVICE, "a") == pytest.approx(once, rel=0.05)
-    demand.forget_introductions()
+    demand.forget_snapshot_senders()
     demand.receive(update_with(snapshot))
     assert demand.model_rate(SERVICE, "a") > 1.5 * once
 
