--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""The web application that serves callers."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -13,13 +13,6 @@
 from redwingscale_daemon._internal.admission.gate import Gate
 from redwingscale_daemon._internal.configuration.current import CurrentConfiguration
 from redwingscale_daemon._internal.entry.authentication import authenticate
-from redwingscale_daemon._internal.entry.chunks import (
-    Chat,
-    Completion,
-    Shape,
-    stream_body,
-    whole_body,
-)
 from redwingscale_daemon._internal.entry.generation_request import build_request, parse_body
 from redwingscale_daemon._internal.entry.problem import body_refusal, problem_response
 from redwingscale_daemon._internal.entry.request_headers import (
@@ -27,6 +20,13 @@
     new_request_id,
     parse_headers,
 )
+from redwingscale_daemon._internal.entry.response_format import (
+    Chat,
+    Completion,
+    ResponseFormat,
+    stream_body,
+    whole_body,
+)
 from redwingscale_daemon._internal.exceptions import Refusal, UpstreamError
 from redwingscale_daemon._internal.idempotency.claim import ClaimKey, request_fingerprint
 from redwingscale_daemon._internal.idempotency.once import Once
@@ -41,7 +41,7 @@
 
 
 class CallersApp:
-    """``/v1/...``, ``/services/...``, ``/readyz`` and ``/healthz``."""
+    """Serves ``/v1/...``, ``/services/...``, ``/readyz`` and ``/healthz``."""
 
     def __init__(
         self,
@@ -71,46 +71,46 @@
             case ("healthz",):
                 return json_response({"status": "up"})
             case ("readyz",):
-                return self._ready()
+                return self._readiness_response()
         headers = cherrypy.request.headers
         request_id = new_request_id(headers)
         cherrypy.response.headers[REQUEST_ID] = request_id
         if self._readiness.draining:
-            # A kept connection could carry a next request just when the port closes.
+            # A persistent connection could carry the next request just as the port closes.
             cherrypy.response.headers["Connection"] = "close"
         with self._tracing.entry_span("request", headers) as span:
             cherrypy.response.headers.update(trace_headers(span))
             self._metrics.requests.add(1)
-            return self._answer(segments, request_id, span)
+            return self._respond(segments, request_id, span)
 
-    def _ready(self) -> bytes:
+    def _readiness_response(self) -> bytes:
         reason = self._readiness.reason()
         return json_response({"ready": not reason, "reason": reason}, 503 if reason else 200)
 
-    def _answer(
+    def _respond(
         self, segments: tuple[str, ...], request_id: str, span: Span
     ) -> bytes | Iterator[bytes]:
         self._readiness.enter()
         try:
-            answer = self._dispatch(segments, request_id, span)
+            response = self._dispatch(segments, request_id, span)
         except Refusal as refusal:
             self._finish(span)
-            return self._refused(refusal, request_id)
+            return self._refuse(refusal, request_id)
         except cherrypy.HTTPError as error:
             self._finish(span)
-            return self._refused(body_refusal(error), request_id)
+            return self._refuse(body_refusal(error), request_id)
         except BaseException:
             self._finish(span)
             raise
-        if isinstance(answer, bytes):
+        if isinstance(response, bytes):
             self._finish(span)
-            return answer
+            return response
         cherrypy.response.stream = True
-        return self._until_end(answer, request_id, span)
+        return self._stream_to_end(response, request_id, span)
 
-    def _until_end(self, body: Iterator[bytes], request_id: str, span: Span) -> Iterator[bytes]:
-        # An error raised in mid-stream leaves the chunked body without its
-        # terminator: the caller sees a cut, never a short answer that looks whole.
+    def _stream_to_end(self, body: Iterator[bytes], request_id: str, span: Span) -> Iterator[bytes]:
+        # An error raised in mid-stream leaves the chunked body without its terminator, so
+        # the caller sees a truncated response and never a short one that looks complete.
         try:
             yield from body
         except UpstreamError as error:
@@ -123,7 +123,7 @@
         span.end()
         self._readiness.leave()
 
-    def _refused(self, refusal: Refusal, request_id: str) -> bytes:
+    def _refuse(self, refusal: Refusal, request_id: str) -> bytes:
         self._metrics.refusals.add(1, {"code": refusal.code})
         log_event("refused", request=request_id, code=refusal.code, run=refusal.run)
         return problem_response(refusal, request_id)
@@ -133,12 +133,14 @@
     ) -> bytes | Iterator[bytes]:
         accepted = self._current.get()
         if accepted is None:
-            raise Refusal(503, "no_configuration", "none is known yet", retry_after_seconds=1.0)
+            raise Refusal(
+                503, "no_configuration", "no configuration is known yet", retry_after_seconds=1.0
+            )
         configuration = accepted.configuration
         caller = authenticate(configuration, cherrypy.request.headers)
         match cherrypy.request.method, segments:
             case "GET", ("v1", "models"):
-                return _models(configuration, caller)
+                return _list_models(configuration, caller)
             case "POST", ("v1", "chat", "completions"):
                 return self._complete(Chat(), configuration, caller, request_id, span)
             case "POST", ("v1", "completions"):
@@ -149,7 +151,7 @@
 
     def _complete(
         self,
-        shape: Shape,
+        response_format: ResponseFormat,
         configuration: Configuration,
         caller: Caller,
         request_id: str,
@@ -157,28 +159,30 @@
     ) -> bytes | Iterator[bytes]:
         headers = cherrypy.request.headers
         raw = read_body(self._body_limit)
-        body = parse_body(raw, chat=isinstance(shape, Chat))
+        body = parse_body(raw, chat=isinstance(response_format, Chat))
         request = build_request(body, configuration, caller, headers, request_id)
         self._generation.note_arrival(request)
-        events = self._admitted(_arrival(request, caller), request, raw, span)
+        events = self._admit(_arrival(request, caller), request, raw, span)
         if body.stream:
             cherrypy.response.headers["Content-Type"] = "text/event-stream"
-            return stream_body(shape, request, events)
+            return stream_body(response_format, request, events)
         cherrypy.response.headers["Content-Type"] = "application/json"
-        return self._whole(shape, request, events)
+        return self._collect(response_format, request, events)
 
-    def _admitted(
+    def _admit(
         self, arrival: Arrival, request: GenerationRequest, raw: bytes, span: Span
     ) -> Iterator[StreamEvent]:
         ticket = self._gate.enter(arrival)
         try:
-            events = self._events(request, raw, span)
+            events = self._run_once(request, raw, span)
         except BaseException:
             self._gate.leave(ticket)
             raise
         return self._gate.watch(ticket, events)
 
-    def _events(self, request: GenerationRequest, raw: bytes, span: Span) -> Iterator[StreamEvent]:
+    def _run_once(
+        self, request: GenerationRequest, raw: bytes, span: Span
+    ) -> Iterator[StreamEvent]:
         if request.idempotent or not request.idempotency_key:
             return self._generation.run(request, span)
         return self._once.stream(
@@ -188,9 +192,11 @@
             lambda: self._generation.run(request, span),
         )
 
-    def _whole(self, shape: Shape, request: Any, events: Iterator[Any]) -> bytes:
+    def _collect(
+        self, response_format: ResponseFormat, request: Any, events: Iterator[Any]
+    ) -> bytes:
         try:
-            return whole_body(shape, request, events)
+            return whole_body(response_format, request, events)
         except UpstreamError as error:
             raise Refusal(
                 502, "upstream_failed", str(error), run=error.run, retry_after_seconds=1.0
@@ -210,25 +216,25 @@
             raise Refusal(404, "service_unknown", f"no service {name!r}")
         headers = cherrypy.request.headers
         deadline = min(service.deadline_seconds, caller.deadline_seconds)
-        steering = parse_headers(headers, request_id, deadline, idempotent=service.idempotent)
+        control = parse_headers(headers, request_id, deadline, idempotent=service.idempotent)
         request = PlainRequest(
             request_id=request_id,
             caller=caller.name,
             service=name,
             method=cherrypy.request.method,
-            path=_path(path),
+            path=_target(path),
             headers={key: headers[key] for key in FORWARDED_HEADERS if key in headers},
             body=read_body(self._body_limit),
-            idempotent=steering.idempotent,
-            idempotency_key=steering.idempotency_key,
-            deadline_at=steering.deadline_at,
+            idempotent=control.idempotent,
+            idempotency_key=control.idempotency_key,
+            deadline_at=control.deadline_at,
         )
         arrival = Arrival(caller.name, caller.share, service.priority, "", 1, request.deadline_at)
         with self._gate.hold(arrival):
-            answer = self._plain.run(request, span)
-        cherrypy.response.status = answer.status
-        cherrypy.response.headers["Content-Type"] = answer.content_type
-        return answer.body
+            response = self._plain.run(request, span)
+        cherrypy.response.status = response.status
+        cherrypy.response.headers["Content-Type"] = response.content_type
+        return response.body
 
 
 def _arrival(request: GenerationRequest, caller: Caller) -> Arrival:
@@ -242,7 +248,7 @@
     )
 
 
-def _models(configuration: Configuration, caller: Caller) -> bytes:
+def _list_models(configuration: Configuration, caller: Caller) -> bytes:
     listed = [
         {"id": name, "object": "model", "owned_by": configuration.deployment}
         for name in configuration.models_by_name
@@ -251,6 +257,6 @@
     return json_response({"object": "list", "data": listed})
 
 
-def _path(segments: list[str]) -> str:
+def _target(segments: list[str]) -> str:
     query = cherrypy.request.query_string
     return "/" + "/".join(segments) + (f"?{query}" if query else "")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/attempts.py
@@ -1,4 +1,4 @@
-"""The sendings of one request, and whether there may be one more."""
+"""The attempts to send one request, and whether another one is allowed."""
 
 import time
 from typing import NamedTuple
@@ -13,12 +13,12 @@
 from redwingscale_daemon._internal.ingress.ingress_request import Headers
 from redwingscale_daemon._internal.routes.route import Route
 
-# Sendings that no upstream has run cost little, but each takes time from the deadline.
-MOST_SENDINGS = 4
+# An attempt that no upstream has run costs little, but uses up time until the deadline.
+MAX_ATTEMPTS = 4
 
 
-class FailedAnswer(NamedTuple):
-    """An upstream's own answer that another sending was to better."""
+class FailedResponse(NamedTuple):
+    """An upstream's failure, returned to the caller if no later attempt succeeds."""
 
     status: int
     headers: Headers
@@ -26,18 +26,18 @@
 
 
 class Attempts:
-    """Counts upstreams that may have run the request, and all that were tried."""
+    """Tracks the upstreams that were tried and how many may have run the request."""
 
     def __init__(self, route: Route, service: str, budget: RepeatBudget) -> None:
         self._route = route
         self._service = service
         self._budget = budget
         self.tried: set[str] = set()
-        self.sendings = 0
-        self.may_have_run = 0
+        self.count = 0
+        self.possible_runs = 0
         self.history: list[str] = []
-        self.failure: FailedAnswer | None = None
-        # When the caller got its last event, monotonic; None before the first one.
+        self.failure: FailedResponse | None = None
+        # Monotonic time of the last event written to the caller, None before the first one.
         self.last_event_at: float | None = None
         self.longest_gap_seconds = 0.0
         self._sent_at = 0.0
@@ -46,13 +46,13 @@
     def begin(
         self, request: str, chosen: Candidate, load: Load, backpressure: BackpressureState
     ) -> None:
-        """Note a sending to ``chosen``, with what decided it and what its answers have said."""
+        """Count an attempt at ``chosen`` and log what the choice was based on."""
         upstream_id = chosen.upstream.id
         log_event(
             "sent",
             request=request,
             upstream=upstream_id,
-            sending=self.sendings + 1,
+            sending=self.count + 1,
             among=chosen.among,
             cost_ms=round(chosen.cost_ms),
             open=load.requests,
@@ -61,23 +61,24 @@
             leaving=_or_dash(backpressure.leaving_seconds),
             retry_in=round(backpressure.retry_in, 3),
         )
-        if not self.sendings:
+        if not self.count:
             self._budget.note_request(self._service)
-        self.sendings += 1
+        self.count += 1
         self._sent_at = time.monotonic()
         self.tried.add(upstream_id)
 
-    def another_after(self, outcome: NotRun | Lost) -> bool:
-        """Return whether the request may be sent once more.
+    def take_retry(self, outcome: NotRun | Lost) -> bool:
+        """Record a failed attempt; return whether the request may be sent again.
 
-        A request that may have run is sent again only where the route allows it,
-        to as many upstreams as the route allows.
+        A request that may have run is sent again only if the route allows it, and to
+        no more upstreams than the route allows. A retry is counted against the budget
+        unless the upstream was not reached or another process has taken its address.
         """
         self.history.append(f"{outcome.upstream.id}:{outcome.reason}")
         if isinstance(outcome, NotRun) and outcome.retry_later:
-            # It is chosen only when its time has come.
+            # The chooser leaves the upstream out until its retry time has passed.
             self.tried.discard(outcome.upstream.id)
-        if self.sendings >= MOST_SENDINGS:
+        if self.count >= MAX_ATTEMPTS:
             return False
         match outcome:
             case NotRun(reached=False):
@@ -87,41 +88,41 @@
             case NotRun():
                 return self._budget.take(self._service)
             case Lost():
-                return self._may_run_again()
+                return self._take_repeat()
 
-    def failed(self, upstream_id: str, reason: str) -> bool:
-        """Note an answer that is a failure; return whether to try another upstream."""
+    def take_retry_after_error(self, upstream_id: str, reason: str) -> bool:
+        """Record a failed or unsigned response; return whether to try another upstream."""
         self.history.append(f"{upstream_id}:{reason}")
-        return self.sendings < MOST_SENDINGS and self._may_run_again()
+        return self.count < MAX_ATTEMPTS and self._take_repeat()
 
-    def first_event(self) -> float:
-        """Note the first event of the newest sending; return the seconds that it took."""
-        seconds = self.waited()
+    def note_first_event(self) -> float:
+        """Record the first event of the latest attempt; return the seconds since it was sent."""
+        seconds = self.seconds_since_send()
         if self.first_event_seconds is None:
             self.first_event_seconds = seconds
         return seconds
 
-    def delivered(self) -> None:
-        """Note an event that the caller has got, and the pause before it."""
+    def note_delivery(self) -> None:
+        """Record an event written to the caller, and the gap since the previous one."""
         now = time.monotonic()
         if self.last_event_at is not None:
             self.longest_gap_seconds = max(self.longest_gap_seconds, now - self.last_event_at)
         self.last_event_at = now
 
-    def waited(self) -> float:
-        """Return the seconds since the newest sending."""
+    def seconds_since_send(self) -> float:
+        """Return the seconds since the latest attempt was sent."""
         return time.monotonic() - self._sent_at
 
     @property
-    def ran_nowhere(self) -> bool:
-        """Whether no upstream can have run the request, nor will."""
-        return self.may_have_run == 0
+    def certainly_not_run(self) -> bool:
+        """Whether no upstream has run the request or will run it."""
+        return self.possible_runs == 0
 
-    def _may_run_again(self) -> bool:
-        self.may_have_run += 1
+    def _take_repeat(self) -> bool:
+        self.possible_runs += 1
         return (
             self._route.repeatable
-            and self.may_have_run < self._route.most_upstreams
+            and self.possible_runs < self._route.most_upstreams
             and self._budget.take(self._service)
         )
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/call.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/call.py
@@ -1,4 +1,4 @@
-"""One request on its way, with everything that was decided before it is sent."""
+"""One request in flight, with everything that is decided before it is sent."""
 
 from typing import NamedTuple
 
@@ -9,13 +9,14 @@
 from redwingscale_daemon._internal.ingress.reply import Reply
 from redwingscale_daemon._internal.routes.route import Route
 from redwingscale_daemon._internal.routes.urgency import Urgency
-from redwingscale_daemon._internal.workspaces.callers_gate import Permit
+from redwingscale_daemon._internal.workspaces.request_permit import Permit
 
 
 class Call(NamedTuple):
-    """A caller's request, its route and service, and where the answer goes.
+    """A caller's request, its route and service, and the reply to write to.
 
-    ``urgency`` 0 is the most urgent; a workspace's rank goes before its route's.
+    ``headers`` are those sent to every upstream. In ``urgency``, 0 is the most urgent
+    rank, and a workspace's rank takes precedence over its route's.
     """
 
     request: IngressRequest
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -1,4 +1,4 @@
-"""Brings the answers of services that run no models."""
+"""Relays requests to services that run no models."""
 
 from http.client import HTTPException
 
@@ -13,41 +13,41 @@
 from redwingscale_daemon._internal.fleet.changes import Changes
 from redwingscale_daemon._internal.fleet.chooser import Candidate
 from redwingscale_daemon._internal.fleet.upstream import Upstream
-from redwingscale_daemon._internal.forwarding.attempts import Attempts, FailedAnswer
+from redwingscale_daemon._internal.forwarding.attempt_failure import FAILURE_STATUSES, note_failure
+from redwingscale_daemon._internal.forwarding.attempts import Attempts, FailedResponse
 from redwingscale_daemon._internal.forwarding.call import Call
 from redwingscale_daemon._internal.forwarding.outcome import Answering, Lost, NotRun
 from redwingscale_daemon._internal.forwarding.parts import RelayParts
-from redwingscale_daemon._internal.forwarding.send_wait import SendWait
-from redwingscale_daemon._internal.forwarding.sending_failure import OWN_FAILURES, note_failure
-from redwingscale_daemon._internal.forwarding.whole_answer import read_whole
+from redwingscale_daemon._internal.forwarding.response_body import read_response_body
+from redwingscale_daemon._internal.forwarding.throttle_wait import ThrottleWait
 from redwingscale_daemon._internal.models.run_state import RunState
 
-FIRST_SERVER_ERROR = 500
-FIRST_ERROR = 400
-# A full upstream has places again within a few requests' time.
-COME_BACK_SECONDS = 0.2
+FIRST_SERVER_ERROR_STATUS = 500
+FIRST_ERROR_STATUS = 400
+# A full upstream has free slots again within the time of a few requests.
+NO_UPSTREAM_RETRY_SECONDS = 0.2
 PLAIN_PRIORITY = 5
-# A request that waits must leave its upstream time to run it.
-SERVICE_SECONDS = 0.25
+# Time that a waiting request leaves its upstream to run it.
+MIN_SERVICE_SECONDS = 0.25
 
 
 class PlainRelay:
-    """Passes a request on, and its whole answer back."""
+    """Forwards a request and returns the response once it is complete."""
 
     def __init__(self, parts: RelayParts, changes: Changes) -> None:
         self._parts = parts
-        self._send_wait = SendWait(parts.gate, changes)
+        self._throttle_wait = ThrottleWait(parts.gate, changes)
 
     def run(self, call: Call) -> None:
-        """Answer ``call``; raise `Refusal`, `CallerLeft`."""
+        """Serve ``call``; raises `Refusal`, `CallerLeft`."""
         while True:
-            candidate = self._candidate(call)
+            candidate = self._choose_upstream(call)
             if candidate is None:
                 if _deliver_failure(call):
                     return
-                raise _nobody(call.attempts)
+                raise _no_upstream_refusal(call.attempts)
             if not self._parts.gate.draw(candidate.upstream.id):
-                # Another request has used the permit, or was rejected.
+                # Another request used the permit, or the upstream has just rejected one.
                 continue
             load = self._parts.load_tracker.total(candidate.upstream.id)
             backpressure = self._parts.backpressure.state(candidate.upstream.id)
@@ -59,8 +59,8 @@
             finally:
                 ticket.close()
 
-    def _candidate(self, call: Call) -> Candidate | None:
-        """Return the best upstream, waiting for one that takes no request yet; None without any."""
+    def _choose_upstream(self, call: Call) -> Candidate | None:
+        """Return the best upstream, waiting for throttled ones; None if none is usable."""
 
         def choose() -> Candidate | None:
             return self._parts.chooser.choose_plain(call.service, call.attempts.tried)
@@ -71,14 +71,14 @@
         throttled = self._parts.chooser.throttled_plain(call.service, call.attempts.tried)
         if not throttled:
             return None
-        return self._send_wait.candidate(
-            call, throttled, lambda: call.watch.remaining() - SERVICE_SECONDS, choose
+        return self._throttle_wait.wait_for_candidate(
+            call, throttled, lambda: call.watch.remaining() - MIN_SERVICE_SECONDS, choose
         )
 
     def _send(self, call: Call, upstream: Upstream) -> bool:
-        """Return whether the caller has its answer; raise when it can have none."""
+        """Return whether the reply was sent, False to retry; raises if neither is possible."""
         parts = self._parts
-        headers = parts.dialect.sending_headers(
+        headers = parts.dialect.attempt_headers(
             call.headers, upstream.platform_name, call.watch.remaining(), PLAIN_PRIORITY, None
         )
         try:
@@ -86,94 +86,98 @@
                 upstream, call.request, call.terms.request_id, headers, call.watch
             )
         except TimeLimitReached:
-            raise _too_late() from None
+            raise _time_limit_refusal() from None
         match outcome:
             case Answering():
-                return self._answer(call, outcome)
+                return self._relay_response(call, outcome)
             case NotRun():
                 note_failure(self._parts, call, outcome)
-                if not call.attempts.another_after(outcome):
+                if not call.attempts.take_retry(outcome):
                     if _deliver_failure(call):
                         return True
-                    raise _nobody(call.attempts)
+                    raise _no_upstream_refusal(call.attempts)
                 return False
             case Lost():
                 note_failure(self._parts, call, outcome)
-                if not call.attempts.another_after(outcome):
+                if not call.attempts.take_retry(outcome):
                     if _deliver_failure(call):
                         return True
-                    raise _lost(outcome.reason)
+                    raise _failure_refusal(outcome.reason)
                 return False
 
-    def _answer(self, call: Call, answering: Answering) -> bool:
+    def _relay_response(self, call: Call, answering: Answering) -> bool:
         response, upstream = answering.response, answering.upstream
         try:
-            body = read_whole(response)
+            body = read_response_body(response)
         except (HTTPException, OSError, UpstreamSilent) as error:
             answering.connection.discard()
-            lost = Lost(upstream, f"answer broke off: {error!r}")
+            lost = Lost(upstream, f"response broke off: {error!r}")
             note_failure(self._parts, call, lost)
-            if not call.attempts.another_after(lost):
-                raise _lost(lost.reason) from error
+            if not call.attempts.take_retry(lost):
+                raise _failure_refusal(lost.reason) from error
             return False
         except TimeLimitReached:
             answering.connection.discard()
-            raise _too_late() from None
+            raise _time_limit_refusal() from None
         except CallerLeft:
             answering.connection.discard()
             raise
-        self._parts.sender.keep(answering)
-        failed = response.status >= FIRST_SERVER_ERROR
-        if response.status in OWN_FAILURES:
+        self._parts.sender.release(answering)
+        failed = response.status >= FIRST_SERVER_ERROR_STATUS
+        if response.status in FAILURE_STATUSES:
             self._parts.health.note_failure(upstream.id)
         elif not failed:
             self._parts.health.note_answer(upstream.id)
-        unsigned = response.status < FIRST_ERROR and not self._parts.dialect.is_signed(response)
-        if (failed or unsigned) and call.attempts.failed(upstream.id, f"status {response.status}"):
+        unsigned = response.status < FIRST_ERROR_STATUS and not self._parts.dialect.is_signed(
+            response
+        )
+        if (failed or unsigned) and call.attempts.take_retry_after_error(
+            upstream.id, f"status {response.status}"
+        ):
             log_event(
                 "retried",
                 request=call.terms.request_id,
                 upstream=upstream.id,
                 reason=f"status {response.status}",
-                sending=call.attempts.sendings,
+                sending=call.attempts.count,
             )
             if failed and self._parts.dialect.is_signed(response):
-                headers = self._parts.dialect.answer_headers(response)
-                call.attempts.failure = FailedAnswer(response.status, headers, body)
+                headers = self._parts.dialect.response_headers(response)
+                call.attempts.failure = FailedResponse(response.status, headers, body)
             return False
         if unsigned:
-            raise _lost("the answer bears no signature")
-        headers = self._parts.dialect.answer_headers(response)
-        call.reply.whole(response.status, headers, body)
+            raise _failure_refusal("the response is not signed")
+        headers = self._parts.dialect.response_headers(response)
+        call.reply.send(response.status, headers, body)
         return True
 
 
 def _deliver_failure(call: Call) -> bool:
-    """Give the caller an upstream's own failure, if no later sending brought more.
+    """Reply with the failure that an upstream sent earlier; return whether there is one.
 
-    It is an answer that is there: a failure of ours in its place would say less.
+    It tells the caller more than a refusal by this instance would.
     """
     failure = call.attempts.failure
     if failure is None:
         return False
-    call.reply.whole(failure.status, failure.headers, failure.body)
+    call.reply.send(failure.status, failure.headers, failure.body)
     return True
 
 
-def _nobody(attempts: Attempts) -> Refusal:
-    if not attempts.ran_nowhere:
-        return _lost("no other upstream is left")
+def _no_upstream_refusal(attempts: Attempts) -> Refusal:
+    if not attempts.certainly_not_run:
+        return _failure_refusal("no other upstream is left")
     return Refusal(
         503,
         "no_upstream",
         "; ".join(attempts.history) or "no upstream is known",
-        retry_after_seconds=COME_BACK_SECONDS,
+        retry_after_seconds=NO_UPSTREAM_RETRY_SECONDS,
     )
 
 
-def _lost(reason: str) -> Refusal:
+def _failure_refusal(reason: str) -> Refusal:
     return Refusal(502, "upstream_failed", reason, run=RunState.UNKNOWN)
 
 
-def _too_late() -> Refusal:
-    return Refusal(504, "time_limit", "no answer within the time limit", run=RunState.UNKNOWN)
+def _time_limit_refusal() -> Refusal:
+    return Refusal(504, "time_limit", "no response within the time limit", run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/entry.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -1,4 +1,4 @@
-"""Takes each request of a caller to its answer."""
+"""Handles each request of a caller from arrival to reply."""
 
 import random
 from collections.abc import Callable
@@ -25,24 +25,24 @@
 from redwingscale_daemon._internal.routes.route_table import RouteTable, draw_service
 from redwingscale_daemon._internal.routes.urgency import Urgency
 from redwingscale_daemon._internal.telemetry.ingress_metrics import IngressMetrics
-from redwingscale_daemon._internal.workspaces.callers_gate import Permit, workspace_of
+from redwingscale_daemon._internal.workspaces.request_permit import Permit, workspace_of
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
 from redwingscale_daemon._internal.workspaces.workspace import Workspace
 
-COME_BACK_SECONDS = 0.5
-# Another instance takes the request; here a thread is free when a stream ends.
-CROWDED_COME_BACK_SECONDS = 0.3
+NO_CONFIGURATION_RETRY_SECONDS = 0.5
+# Another instance can serve the request; here a thread becomes free when a stream ends.
+NO_THREAD_RETRY_SECONDS = 0.3
 
 
 class DemandSink(Protocol):
-    """Counts what callers ask for."""
+    """Counts the requests of callers as demand."""
 
     def arrived(self, service: str, terms: Terms, weight: float) -> None:
-        """Note a request, ``weight`` times by its urgency."""
+        """Count a request; ``weight`` depends on its urgency."""
 
 
-class Entry:
-    """Routes, relays and refuses; each request gets exactly one final answer."""
+class RequestHandler:
+    """Routes, relays or refuses requests; each one gets exactly one final reply."""
 
     def __init__(
         self,
@@ -58,9 +58,9 @@
         leaves_rotation: Callable[[], bool] = lambda: False,
         crowded: Callable[[], bool] = lambda: False,
     ) -> None:
-        # Whether callers had better come through another instance from now on.
+        # Whether callers should use another instance from now on.
         self._leaves_rotation = leaves_rotation
-        # Whether all threads that may answer requests are taken.
+        # Whether all threads that may serve requests are in use.
         self._crowded = crowded
         self._routes = routes
         self._dialect = dialect
@@ -75,15 +75,18 @@
         self._random = random.Random()
 
     def handle(self, request: IngressRequest, reply: Reply) -> None:
-        """Answer ``request``; raise `CallerLeft` when nobody waits any more."""
+        """Serve ``request``; raises `CallerLeft` if the caller has disconnected."""
         with self._open_requests.counted():
             if self._open_requests.draining or self._leaves_rotation():
-                # A kept connection would carry a next request just when the port closes.
+                # A persistent connection could carry the next request just as the port closes.
                 reply.close_after()
             self._handle(request, reply)
 
     def screen(self, head: IngressRequest, reply: Reply) -> bool:
-        """Refuse a request whose key its head shows to be unknown; return whether it was."""
+        """Refuse a request with a missing or unknown key before its body is read.
+
+        Returns whether it was refused.
+        """
         table = self._routes.get()
         if table is None or table.keys is None:
             return False
@@ -94,7 +97,7 @@
         try:
             workspace_of(table, route, terms.key_digest)
         except Refusal as refusal:
-            self._ended(head, terms, None, refusal)
+            self._log_end(head, terms, None, refusal)
             reply.leave_body_unread()
             self._refuse(refusal, reply)
             return True
@@ -112,17 +115,17 @@
             self._relay(call)
         except Refusal as refusal:
             if call is not None and refusal.run is RunState.NOT_RUN:
-                call.permit.give_back()
-            self._ended(request, terms, call, refusal)
+                call.permit.refund()
+            self._log_end(request, terms, call, refusal)
             self._refuse(refusal, reply)
         except CallerLeft:
-            if call is not None and not call.attempts.sendings:
-                call.permit.give_back()
+            if call is not None and not call.attempts.count:
+                call.permit.refund()
             self._metrics.ended(request, "caller_left")
-            log_event("caller_left", request=terms.request_id, route=_name(call))
+            log_event("caller_left", request=terms.request_id, route=_route_name(call))
             raise
         else:
-            self._ended(request, terms, call, None, reply.status)
+            self._log_end(request, terms, call, None, reply.status)
 
     def _route(self, request: IngressRequest, terms: Terms, reply: Reply) -> Call:
         table = self._routes.get()
@@ -131,7 +134,7 @@
                 503,
                 "no_configuration",
                 "no configuration is known yet",
-                retry_after_seconds=COME_BACK_SECONDS,
+                retry_after_seconds=NO_CONFIGURATION_RETRY_SECONDS,
             )
         route = table.find(request.host, request.path)
         if route is None:
@@ -140,13 +143,13 @@
         permit = Permit(self._routes, table, route, terms.key_digest, self._limiter)
         workspace = permit.workspace
         if self._crowded():
-            # One that waited for a thread unread would be given up by its caller
-            # without a word, and nobody could say whether it had run.
+            # Left unread until a thread is free, the request would time out at the caller,
+            # which could not tell whether it had run.
             raise Refusal(
                 503,
                 "no_thread",
-                "as many requests are open as this instance may serve at once",
-                retry_after_seconds=CROWDED_COME_BACK_SECONDS,
+                "this instance already serves its maximum number of requests",
+                retry_after_seconds=NO_THREAD_RETRY_SECONDS,
             )
         permit.draw(terms.request_id, terms.tokens)
         service = draw_service(route, self._random)
@@ -158,7 +161,7 @@
             service=service,
             configuration=table.version,
             unit=terms.prompt.unit if terms.prompt else "-",
-            tokens=_tokens(terms),
+            tokens=_format_tokens(terms),
         )
         return Call(
             request=request,
@@ -186,16 +189,16 @@
 
     def _refuse(self, refusal: Refusal, reply: Reply) -> None:
         if reply.started:
-            reply.cut()
+            reply.abort()
             return
         headers = [("Content-Type", "application/problem+json")]
         if refusal.retry_after_seconds is not None:
             headers.append(("Retry-After", f"{refusal.retry_after_seconds:.2f}"))
         if refusal.status == HTTPStatus.UNAUTHORIZED:
             headers.append(("WWW-Authenticate", "Bearer"))
-        reply.whole(refusal.status, headers, refusal.document())
+        reply.send(refusal.status, headers, refusal.document())
 
-    def _ended(
+    def _log_end(
         self,
         request: IngressRequest,
         terms: Terms,
@@ -208,15 +211,15 @@
         log_event(
             "request_ended",
             request=terms.request_id,
-            route=_name(call),
+            route=_route_name(call),
             status=refusal.status if refusal else status,
             outcome=refusal.code if refusal else "answered",
             run=refusal.run if refusal else "run",
             detail=refusal.detail if refusal else "",
-            sendings=attempts.sendings if attempts else "-",
+            sendings=attempts.count if attempts else "-",
             history=";".join(attempts.history) if attempts else "",
-            first_event=_rounded(attempts.first_event_seconds if attempts else None),
-            longest_gap=_rounded(attempts.longest_gap_seconds if attempts else None),
+            first_event=_format_seconds(attempts.first_event_seconds if attempts else None),
+            longest_gap=_format_seconds(attempts.longest_gap_seconds if attempts else None),
             seconds=round(seconds, 4),
         )
 
@@ -234,14 +237,14 @@
     return request.arrived_at + limit
 
 
-def _rounded(seconds: float | None) -> str:
+def _format_seconds(seconds: float | None) -> str:
     return "-" if seconds is None else f"{seconds:.4f}"
 
 
-def _tokens(terms: Terms) -> str:
+def _format_tokens(terms: Terms) -> str:
     prompt = terms.prompt
     return f"{prompt.tokens_in}+{prompt.most_tokens_out}" if prompt else "-"
 
 
-def _name(call: Call | None) -> str:
+def _route_name(call: Call | None) -> str:
     return call.route.name if call else "-"
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
@@ -21,14 +21,15 @@
 from redwingscale_daemon._internal.forwarding.watch import Watch
 from redwingscale_daemon._internal.ingress.ingress_request import Headers, IngressRequest
 
-# Refusals and answers to others are small; what is larger isn't worth reading.
-_DISCARDED_BYTES = 65536
+# Refusals and responses to other requests are small. For a larger one, closing the
+# connection costs less than reading it.
+_MAX_DISCARDED_BYTES = 65536
 
 Outcome = Answering | NotRun | Lost
 
 
 class Sender:
-    """Uses a kept connection or a new one; never sends anything twice."""
+    """Sends on an idle connection or a new one, and never sends a request twice."""
 
     def __init__(
         self, pool: ConnectionPool, dialect: Dialect, backpressure: BackpressureTracker
@@ -45,19 +46,20 @@
         headers: Headers,
         watch: Watch,
     ) -> Outcome:
-        """Send and await the answer's head; raise `CallerLeft` or `TimeLimitReached`.
+        """Send and wait for the head of the response.
 
-        However it ends, the connection is closed unless the caller of this
-        method gets it: an upstream drops what it runs for a closed connection.
+        Raises `CallerLeft` or `TimeLimitReached`. The connection is closed unless it
+        is returned in an `Answering` or can be reused after a refusal: an upstream
+        aborts what it runs for a closed connection.
         """
         try:
             connection = self._pool.take_idle(upstream) or self._pool.open(upstream)
         except (HTTPError, OSError) as error:
-            return NotRun(upstream, f"no connection: {error!r}", wrong_place=False, reached=False)
+            return NotRun(upstream, f"no connection: {error!r}", misdirected=False, reached=False)
         sent_at = time.monotonic()
         try:
             connection.send_request(request.method, request.target, headers, request.body)
-            response = self._own_answer(connection, request, request_id, watch)
+            response = self._matching_response(connection, request, request_id, watch)
         except (CallerLeft, TimeLimitReached):
             connection.discard()
             raise
@@ -66,66 +68,69 @@
             return Lost(upstream, repr(error))
         if response is None:
             connection.discard()
-            return Lost(upstream, "answers of other requests")
-        backpressure = self._note(upstream, response, sent_at)
+            return Lost(upstream, "only responses to other requests")
+        backpressure = self._note_backpressure(upstream, response, sent_at)
         if self._dialect.was_not_run(response):
-            refused = self._refused(upstream, connection, response)
+            refused = self._not_run(upstream, connection, response)
             return refused._replace(retry_later=bool(backpressure.retry_after_seconds))
         return Answering(upstream, connection, response)
 
-    def keep(self, answering: Answering) -> None:
-        """Give the connection of a whole answer back."""
+    def release(self, answering: Answering) -> None:
+        """Return the connection of a fully read response to the pool, or close it."""
         idle = self._dialect.idle_seconds(answering.response)
-        if idle == 0.0 or not answering.connection.is_quiet():
+        if idle == 0.0 or not answering.connection.is_reusable():
             answering.connection.discard()
             return
-        self._pool.give_back(answering.upstream, answering.connection, idle)
+        self._pool.put_back(answering.upstream, answering.connection, idle)
 
-    def _own_answer(
+    def _matching_response(
         self,
         connection: UpstreamConnection,
         request: IngressRequest,
         request_id: str,
         watch: Watch,
     ) -> HTTPResponse | None:
-        """Return the answer that bears ``request_id``, None when there is none.
+        """Return the response with ``request_id``, None without one.
 
-        An upstream may send a second answer to an earlier request just where
-        the answer to this one is due; its id tells. The own one follows it.
+        On a reused connection, an upstream may send a second response to an earlier
+        request first. It carries that request's id, and the response to this request
+        follows it.
         """
-        response = connection.receive(watch)
-        if self._dialect.answers(response, request_id):
+        response = connection.receive_response(watch)
+        if self._dialect.matches_request(response, request_id):
             return response
-        if response.will_close or connection.answers < 2:
+        if response.will_close or connection.response_count < 2:
             return None
-        if len(response.read(_DISCARDED_BYTES)) == _DISCARDED_BYTES:
+        if len(response.read(_MAX_DISCARDED_BYTES)) == _MAX_DISCARDED_BYTES:
             return None
-        response = connection.receive_next(request.method)
-        return response if self._dialect.answers(response, request_id) else None
+        response = connection.receive_extra_response(request.method)
+        return response if self._dialect.matches_request(response, request_id) else None
 
-    def _note(self, upstream: Upstream, response: HTTPResponse, sent_at: float) -> Backpressure:
+    def _note_backpressure(
+        self, upstream: Upstream, response: HTTPResponse, sent_at: float
+    ) -> Backpressure:
         if self._dialect.is_from_another(response, upstream.platform_name):
             return Backpressure()
         backpressure = self._dialect.read_backpressure(response.status, response.headers)
-        # What answers without a signature may be garbled.
-        signed_at = sent_at if self._dialect.is_signed(response) else None
-        self._backpressure.take(upstream.id, backpressure, "answer", signed_at)
+        # An unsigned response may be corrupt: that it names no rate limit does not end one.
+        signed_sent_at = sent_at if self._dialect.is_signed(response) else None
+        self._backpressure.take(upstream.id, backpressure, "answer", signed_sent_at)
         return backpressure
 
-    def _refused(
+    def _not_run(
         self, upstream: Upstream, connection: UpstreamConnection, response: HTTPResponse
     ) -> NotRun:
         reason = f"status {response.status}"
         answering = Answering(upstream, connection, response)
-        # A caller that leaves meanwhile is seen at the next wait.
+        # A caller that disconnects during this read is noticed at the next wait.
         with contextlib.suppress(
             HTTPException, OSError, UpstreamSilent, TimeLimitReached, CallerLeft
         ):
-            response.read(_DISCARDED_BYTES)
+            response.read(_MAX_DISCARDED_BYTES)
         if response.isclosed():
-            self.keep(answering)
+            self.release(answering)
         else:
             connection.discard()
         misdirected = self._dialect.is_misdirected(response)
         gone = self._dialect.is_from_another(response, upstream.platform_name)
-        return NotRun(upstream, reason, wrong_place=misdirected, reached=True, gone=gone)
+        return NotRun(upstream, reason, misdirected=misdirected, reached=True, gone=gone)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -1,4 +1,4 @@
-"""Brings the streams of model services, across the loss of upstreams."""
+"""Relays streams of model services and resumes them when an upstream is lost."""
 
 from http.client import HTTPException
 
@@ -12,57 +12,57 @@
 from redwingscale_daemon._internal.fleet.load_tracker import LoadTicket
 from redwingscale_daemon._internal.fleet.prefix_memory import PrefixMemory
 from redwingscale_daemon._internal.fleet.prompt import Prompt
+from redwingscale_daemon._internal.forwarding.attempt_failure import FAILURE_STATUSES, note_failure
 from redwingscale_daemon._internal.forwarding.call import Call
 from redwingscale_daemon._internal.forwarding.events import Event, read_events
 from redwingscale_daemon._internal.forwarding.holder_wait import HolderWait
 from redwingscale_daemon._internal.forwarding.outcome import Answering, Lost, NotRun
 from redwingscale_daemon._internal.forwarding.parts import RelayParts
-from redwingscale_daemon._internal.forwarding.sending_failure import OWN_FAILURES, note_failure
-from redwingscale_daemon._internal.forwarding.whole_answer import read_whole
+from redwingscale_daemon._internal.forwarding.response_body import read_response_body
 from redwingscale_daemon._internal.models.run_state import RunState
 
-FIRST_ERROR = 400
-FIRST_SERVER_ERROR = 500
-# Priorities that an upstream tells apart, 0 the most urgent.
-PRIORITIES = 10
+FIRST_ERROR_STATUS = 400
+FIRST_SERVER_ERROR_STATUS = 500
+# Number of priorities that upstreams distinguish, 0 being the most urgent.
+PRIORITY_LEVELS = 10
 LATE_TARGET_SECONDS = 2.0
-# An upstream that sends nothing for this long in mid-stream has lost the run: a
-# step takes some 10 ms, and a preempted run is back within a second.
+# An upstream that sends nothing for this long in mid-stream has lost the run: a step
+# takes some 10 ms, and a preempted run resumes within a second.
 STREAM_SILENCE_SECONDS = 1.6
-# Before the first event a sound upstream may have a queue.
+# Before the first event, the request may be queued at a healthy upstream.
 FIRST_EVENT_SILENCE_SECONDS = 2.2
-COME_BACK_SECONDS = 0.3
-MILLISECONDS = 1000.0
+REFUSED_RETRY_SECONDS = 0.3
+MILLISECONDS_PER_SECOND = 1000.0
 
 
 class _Progress:
-    """How far the caller's stream has come."""
+    """The position in the caller's stream."""
 
     def __init__(self, last_event: int | None) -> None:
         self.last_event = last_event
         self.events = 0
 
-    def wants(self, event: Event) -> bool:
-        """Return whether ``event`` is the next one; False for one that was delivered.
+    def is_next(self, event: Event) -> bool:
+        """Return whether ``event`` is the next one, False if it was already delivered.
 
-        Raises HTTPException at a gap: the upstream's stream isn't the one asked for.
+        Raises `HTTPException` at a gap: the upstream did not resume where requested.
         """
         if event.number is None:
-            raise HTTPException("an event has no number")
+            raise HTTPException("event without an id")
         if self.last_event is None or event.number == self.last_event + 1:
             return True
         if event.number <= self.last_event:
             return False
         raise HTTPException(f"event {event.number} follows {self.last_event}")
 
-    def delivered(self, event: Event) -> None:
-        """Note that the caller has ``event``."""
+    def note_delivered(self, event: Event) -> None:
+        """Record that ``event`` was written to the caller."""
         self.last_event = event.number
         self.events += 1
 
 
 class StreamRelay:
-    """Passes events on one by one; continues a resumable run where another ended."""
+    """Relays events one by one; resumes a run at another upstream if the route allows it."""
 
     def __init__(self, parts: RelayParts, wait: HolderWait, prefixes: PrefixMemory) -> None:
         self._parts = parts
@@ -70,17 +70,17 @@
         self._prefixes = prefixes
 
     def run(self, call: Call, prompt: Prompt) -> None:
-        """Answer ``call``; raise `Refusal`, `CallerLeft`.
+        """Serve ``call``; raises `Refusal`, `CallerLeft`.
 
-        A stream that cannot be brought to its end is cut, never ended as if whole.
+        A stream that cannot be completed is cut, so that it never looks complete.
         """
         progress = _Progress(call.terms.last_event)
         while True:
-            candidate = self._wait.candidate(call, prompt)
+            candidate = self._wait.choose_holder(call, prompt)
             if not self._parts.gate.draw(candidate.upstream.id):
-                # Another request has used the permit, or was rejected.
+                # Another request used the permit, or the upstream has just rejected one.
                 continue
-            if not call.attempts.sendings:
+            if not call.attempts.count:
                 call.permit.check()
             upstream = candidate.upstream
             load = self._parts.load_tracker.total(upstream.id)
@@ -103,36 +103,36 @@
         progress: _Progress,
         ticket: LoadTicket,
     ) -> bool:
-        """Return whether the caller has its answer; raise when it can have none."""
+        """Return whether the reply is complete, False to retry; raises if neither is possible."""
         upstream = candidate.upstream
-        headers = self._parts.dialect.sending_headers(
+        headers = self._parts.dialect.attempt_headers(
             call.headers,
             upstream.platform_name,
             call.watch.remaining(),
             _priority(call),
             progress.last_event,
         )
-        call.watch.silence_seconds = _first_silence(call)
+        call.watch.silence_seconds = _first_event_silence_seconds(call)
         try:
             outcome = self._parts.sender.send(
                 upstream, call.request, call.terms.request_id, headers, call.watch
             )
         except TimeLimitReached:
-            raise _too_late() from None
+            raise _time_limit_refusal() from None
         match outcome:
             case Answering():
-                return self._answer(call, outcome, candidate, progress, ticket)
+                return self._relay_response(call, outcome, candidate, progress, ticket)
             case Lost():
                 if not progress.events:
-                    waited = call.attempts.waited() * MILLISECONDS
+                    waited_ms = call.attempts.seconds_since_send() * MILLISECONDS_PER_SECOND
                     self._parts.latency_factors.observe(
-                        upstream.id, candidate.first_event_ms, waited
+                        upstream.id, candidate.first_event_ms, waited_ms
                     )
-                return self._try_another(call, outcome)
+                return self._prepare_retry(call, outcome)
             case NotRun():
-                return self._try_another(call, outcome)
+                return self._prepare_retry(call, outcome)
 
-    def _answer(
+    def _relay_response(
         self,
         call: Call,
         answering: Answering,
@@ -142,26 +142,26 @@
     ) -> bool:
         response = answering.response
         try:
-            if response.status >= FIRST_ERROR:
-                return self._pass_failure(call, answering)
+            if response.status >= FIRST_ERROR_STATUS:
+                return self._relay_failure(call, answering)
             if not self._parts.dialect.is_signed(response):
-                raise HTTPException("the answer bears no signature")
-            self._pass_events(call, answering, candidate, progress, ticket)
+                raise HTTPException("the response is not signed")
+            self._relay_events(call, answering, candidate, progress, ticket)
         except (HTTPException, OSError, UpstreamSilent, ValueError) as error:
             answering.connection.discard()
             lost = Lost(answering.upstream, f"event {progress.last_event}: {error!r}")
-            return self._try_another(call, lost)
+            return self._prepare_retry(call, lost)
         except TimeLimitReached:
             answering.connection.discard()
-            raise _too_late() from None
+            raise _time_limit_refusal() from None
         except (CallerLeft, Refusal):
             answering.connection.discard()
             raise
-        self._parts.sender.keep(answering)
+        self._parts.sender.release(answering)
         self._parts.health.note_answer(answering.upstream.id)
         return True
 
-    def _pass_events(
+    def _relay_events(
         self,
         call: Call,
         answering: Answering,
@@ -169,68 +169,70 @@
         progress: _Progress,
         ticket: LoadTicket,
     ) -> None:
-        headers = self._parts.dialect.answer_headers(answering.response)
+        headers = self._parts.dialect.response_headers(answering.response)
         begun = False
         for event in read_events(answering.response):
             if not begun:
                 begun = True
                 ticket.note_prompt_read()
-                real = call.attempts.first_event() * MILLISECONDS
+                real_ms = call.attempts.note_first_event() * MILLISECONDS_PER_SECOND
                 self._parts.latency_factors.observe(
-                    answering.upstream.id, candidate.first_event_ms, real
+                    answering.upstream.id, candidate.first_event_ms, real_ms
                 )
-                if real / MILLISECONDS > call.route.latency_target_seconds:
-                    self._note_late(call)
+                if real_ms / MILLISECONDS_PER_SECOND > call.route.latency_target_seconds:
+                    self._note_late_first_event(call)
             call.watch.silence_seconds = STREAM_SILENCE_SECONDS if call.route.resumable else None
-            if not progress.wants(event):
+            if not progress.is_next(event):
                 continue
             if not call.reply.started:
                 call.reply.begin(answering.response.status, headers)
             call.reply.write(event.data)
-            progress.delivered(event)
-            call.attempts.delivered()
+            progress.note_delivered(event)
+            call.attempts.note_delivery()
         if not call.reply.started:
             call.reply.begin(answering.response.status, headers)
 
-    def _note_late(self, call: Call) -> None:
+    def _note_late_first_event(self, call: Call) -> None:
         if call.terms.prompt is not None:
             self._wait.demand.note_overload(call.service, call.terms.prompt.unit)
 
-    def _pass_failure(self, call: Call, answering: Answering) -> bool:
-        body = read_whole(answering.response)
-        self._parts.sender.keep(answering)
+    def _relay_failure(self, call: Call, answering: Answering) -> bool:
+        body = read_response_body(answering.response)
+        self._parts.sender.release(answering)
         status = answering.response.status
-        if status in OWN_FAILURES:
+        if status in FAILURE_STATUSES:
             self._parts.health.note_failure(answering.upstream.id)
-        failed = status >= FIRST_SERVER_ERROR
-        if failed and call.attempts.failed(answering.upstream.id, f"status {status}"):
+        failed = status >= FIRST_SERVER_ERROR_STATUS
+        if failed and call.attempts.take_retry_after_error(
+            answering.upstream.id, f"status {status}"
+        ):
             return False
         if call.reply.started:
             raise Refusal(502, "stream_broken", f"status {status}", run=RunState.RUN)
-        call.reply.whole(status, self._parts.dialect.answer_headers(answering.response), body)
+        call.reply.send(status, self._parts.dialect.response_headers(answering.response), body)
         return True
 
-    def _try_another(self, call: Call, outcome: NotRun | Lost) -> bool:
-        """Return False to go on at another upstream; raise when there may be none."""
+    def _prepare_retry(self, call: Call, outcome: NotRun | Lost) -> bool:
+        """Record the failure; return False to retry, raises `Refusal` if that is not allowed."""
         note_failure(self._parts, call, outcome)
-        if call.attempts.another_after(outcome):
+        if call.attempts.take_retry(outcome):
             call.watch.check_caller()
             return False
-        if call.attempts.ran_nowhere:
-            raise Refusal(503, "refused", outcome.reason, retry_after_seconds=COME_BACK_SECONDS)
+        if call.attempts.certainly_not_run:
+            raise Refusal(503, "refused", outcome.reason, retry_after_seconds=REFUSED_RETRY_SECONDS)
         raise Refusal(502, "upstream_failed", outcome.reason, run=RunState.UNKNOWN)
 
 
 def _priority(call: Call) -> int:
     late = call.route.latency_target_seconds > LATE_TARGET_SECONDS
-    return call.urgency.level(PRIORITIES, late=late)
+    return call.urgency.level(PRIORITY_LEVELS, late=late)
 
 
-def _first_silence(call: Call) -> float | None:
+def _first_event_silence_seconds(call: Call) -> float | None:
     if not call.route.resumable:
         return None
     return max(FIRST_EVENT_SILENCE_SECONDS, call.route.latency_target_seconds * 2)
 
 
-def _too_late() -> Refusal:
-    return Refusal(504, "time_limit", "no answer within the time limit", run=RunState.UNKNOWN)
+def _time_limit_refusal() -> Refusal:
+    return Refusal(504, "time_limit", "no response within the time limit", run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/watch.py
@@ -1,4 +1,4 @@
-"""Waits for an upstream's bytes while looking after the caller and the clock."""
+"""Waits for bytes of an upstream while checking the caller and the deadline."""
 
 import select
 import socket
@@ -6,17 +6,18 @@
 
 from redwingscale_daemon._internal.exceptions import CallerLeft, TimeLimitReached, UpstreamSilent
 
-_GONE = select.POLLHUP | select.POLLERR | select.POLLRDHUP
+_CLOSED_EVENTS = select.POLLHUP | select.POLLERR | select.POLLRDHUP
 _UPSTREAM_EVENTS = select.POLLIN | select.POLLHUP | select.POLLERR
-_MILLISECONDS = 1000.0
+_MILLISECONDS_PER_SECOND = 1000.0
 
 
 class Watch:
     """Bounds every wait of one request.
 
-    A thread that only reads the upstream would not see that the caller has left:
-    the upstream would go on working for nobody. So each wait polls both sockets.
-    ``deadline`` is monotonic; ``silence_seconds`` is the longest wait for bytes.
+    Each wait polls both sockets: a thread that only reads the upstream would not notice
+    that the caller has disconnected, and the upstream would go on working for nobody.
+    ``deadline`` is monotonic; ``silence_seconds`` is the longest wait for a byte, None
+    for no bound.
     """
 
     def __init__(self, caller: socket.socket, deadline: float) -> None:
@@ -26,7 +27,7 @@
         self.silence_seconds: float | None = None
 
     def remaining(self) -> float:
-        """Return the seconds that are left, 0 when none are."""
+        """Return the seconds until the deadline, at least 0."""
         return max(0.0, self.deadline - time.monotonic())
 
     def check_caller(self) -> None:
@@ -34,10 +35,10 @@
         poller = select.poll()
         poller.register(self._caller, self._caller_events)
         for _, events in poller.poll(0):
-            self._see_caller(events)
+            self._check_caller_events(events)
 
-    def until_readable(self, upstream: socket.socket) -> None:
-        """Return when ``upstream`` has bytes or has closed.
+    def wait_until_readable(self, upstream: socket.socket) -> None:
+        """Block until ``upstream`` has bytes or is closed.
 
         Raises `CallerLeft`, `TimeLimitReached` at the deadline, and
         `UpstreamSilent` after ``silence_seconds`` without a byte.
@@ -49,22 +50,22 @@
         while True:
             now = time.monotonic()
             if now >= self.deadline:
-                raise TimeLimitReached("no time is left")
+                raise TimeLimitReached("the deadline has passed")
             if now >= silent_at:
                 raise UpstreamSilent(f"no byte for {self.silence_seconds} s")
             wait = min(self.deadline, silent_at) - now
-            ready = dict(poller.poll(wait * _MILLISECONDS + 1))
+            ready = dict(poller.poll(wait * _MILLISECONDS_PER_SECOND + 1))
             if (events := ready.get(self._caller.fileno())) is not None:
-                self._see_caller(events)
+                self._check_caller_events(events)
                 poller.modify(self._caller, self._caller_events)
             if upstream.fileno() in ready:
                 return
 
-    def _see_caller(self, events: int) -> None:
-        if events & _GONE:
+    def _check_caller_events(self, events: int) -> None:
+        if events & _CLOSED_EVENTS:
             raise CallerLeft("the caller closed its connection")
         if not self._caller.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
             raise CallerLeft("the caller closed its connection")
-        # The caller has sent its next request already: its bytes stay readable,
-        # so only its close is watched from here on.
+        # The caller has already sent its next request. Its bytes stay readable, so from
+        # here on only the close of the connection is polled.
         self._caller_events = select.POLLRDHUP
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/request_threads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/request_threads.py
@@ -1,4 +1,4 @@
-"""The threads of a port: they come with need and go when they rest."""
+"""A thread pool that grows with demand and ends threads that stay idle."""
 
 import threading
 import time
@@ -12,76 +12,76 @@
 )
 from redwingscale_common.utils.logs import log_event
 
-# A thread that has had nothing to do for this long ends. Callers come in bursts of
-# some seconds: what one burst has started serves the next one.
-REST_SECONDS = 10.0
-# One line for a bound that is met again and again.
+# A thread that is idle for this long ends. Requests come in bursts of some seconds: the
+# threads started for one burst serve the next one.
+IDLE_SECONDS = 10.0
+# At most one log line in this time while all threads are busy.
 FULL_LOG_SECONDS = 5.0
 
 
-class _Seat:
-    """A thread that waits for a connection."""
+class _Waiter:
+    """An idle thread's wait for a connection."""
 
     def __init__(self) -> None:
-        self._given = threading.Lock()
-        self._given.acquire()
+        self._assigned = threading.Lock()
+        self._assigned.acquire()
         self.connection: Any = None
 
-    def give(self, connection: Any) -> None:
+    def assign(self, connection: Any) -> None:
         """Wake the thread with ``connection``."""
         self.connection = connection
-        self._given.release()
+        self._assigned.release()
 
     def wait(self, seconds: float) -> bool:
-        """Return whether a connection has come in time."""
-        return self._given.acquire(timeout=seconds)
+        """Return whether a connection was assigned within ``seconds``."""
+        return self._assigned.acquire(timeout=seconds)
 
 
 class RequestThreads(ThreadPool):
-    """Between ``least`` and ``most`` threads; the one that rested last is taken first.
+    """A pool of ``minimum`` to ``maximum`` threads; the last to become idle is used first.
 
-    A thread for each request that may ever be open at once would have most of them
-    rest all day, and some hundred instances would use up a machine's threads. Taken in
-    turn, all would be in use now and then and none could end: so the last one to rest
-    serves next, and those that have rested longest end by themselves.
+    With a fixed pool for the largest number of open requests, most threads would be idle
+    all the time, and some hundred instances would exhaust a machine's threads. If idle
+    threads were used in turn, each would be used now and then and none would end; with the
+    last one used first, those that are idle longest end by themselves.
     """
 
     _threads: list[threading.Thread]
 
-    def __init__(self, server: Any, name: str, least: int, most: int) -> None:
-        super().__init__(server, min=least, max=most)
+    def __init__(self, server: Any, name: str, minimum: int, maximum: int) -> None:
+        super().__init__(server, min=minimum, max=maximum)
         self._name = name
         self._lock = threading.Lock()
-        self._resting: list[_Seat] = []
-        # Threads that have a connection: one that has just started has none yet.
+        self._waiters: list[_Waiter] = []
+        # Ids of threads that serve a connection; one that has just started has none yet.
         self._serving: set[int] = set()
         self._backlog: deque[Any] = deque()
         self._stopping = False
         self._full_logged_at = float("-inf")
-        # The server's threads take their connections from this attribute.
-        self.get = self._next
+        # The server's threads call this attribute to get their connections.
+        self.get = self._next_connection
 
     @property
     def busy(self) -> int:
-        """How many threads have a connection."""
+        """Number of threads that serve a connection."""
         return len(self._serving)
 
     @property
     def qsize(self) -> int:
-        """How many connections wait for a thread."""
+        """Number of connections that wait for a thread."""
         return len(self._backlog)
 
     def start(self) -> None:
-        """Start the least number of threads."""
+        """Start the minimum number of threads."""
         with self._lock:
             for _ in range(self.min):
                 self._start_one()
 
     def put(self, obj: Any) -> None:
-        """Give a connection to a resting thread, else to a new one, else to the next free."""
+        """Assign a connection to an idle thread, else to a new one, else to the next free one."""
         with self._lock:
-            if self._resting:
-                self._resting.pop().give(obj)
+            if self._waiters:
+                self._waiters.pop().assign(obj)
                 return
             self._backlog.append(obj)
             if len(self._threads) < self.max:
@@ -90,15 +90,15 @@
                 self._log_full()
 
     def stop(self, timeout: Any = 5) -> None:
-        """End all threads; connections that wait are served first."""
+        """End all threads, after the connections that wait were served."""
         with self._lock:
             self._stopping = True
-            for seat in self._resting:
-                seat.give(_SHUTDOWNREQUEST)
-            self._resting.clear()
+            for waiter in self._waiters:
+                waiter.assign(_SHUTDOWNREQUEST)
+            self._waiters.clear()
         super().stop(timeout)
 
-    def _next(self) -> Any:
+    def _next_connection(self) -> Any:
         me = threading.get_ident()
         self._serving.discard(me)
         connection = self._await_connection()
@@ -113,15 +113,15 @@
                     return self._backlog.popleft()
                 if self._stopping:
                     return _SHUTDOWNREQUEST
-                seat = _Seat()
-                self._resting.append(seat)
-            if seat.wait(REST_SECONDS):
-                return seat.connection
+                waiter = _Waiter()
+                self._waiters.append(waiter)
+            if waiter.wait(IDLE_SECONDS):
+                return waiter.connection
             with self._lock:
-                if seat not in self._resting:
-                    # It was given a connection just when its rest ended.
-                    return seat.connection
-                self._resting.remove(seat)
+                if waiter not in self._waiters:
+                    # A connection was assigned just after the wait timed out.
+                    return waiter.connection
+                self._waiters.remove(waiter)
                 if len(self._threads) > self.min:
                     self._threads.remove(threading.current_thread())
                     return _SHUTDOWNREQUEST
@@ -133,8 +133,8 @@
         try:
             worker.start()
         except RuntimeError as error:
-            # The machine has no room for a thread: the ones that there are go on, and
-            # the connection waits for one of them. An error here would end the port.
+            # The machine has no thread left. The connection waits for an existing thread;
+            # an error here would end the port's accept loop.
             log_event("thread_refused", level="ERROR", port=self._name, error=error)
             return
         self._threads.append(worker)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -1,4 +1,4 @@
-"""How much each model is asked for, over all instances."""
+"""Tracks how much each model is requested, over all instances."""
 
 import math
 import threading
@@ -15,34 +15,35 @@
 )
 from redwingscale_daemon._internal.utils.fading_rate import FadingRate
 
-# Demand moves from one model to another within five seconds: a rate fades to half
-# in this time.
-MEMORY_SECONDS = 4.0
-# Where a shorter memory says less, demand is leaving: a load that begins now would
-# come for requests that are no longer sent.
-LEAVING_MEMORY_SECONDS = 2.0
-# Expected requests, in the same measure as a rate over some seconds.
-UNSEEN_REQUESTS = 3.0
-UNSEEN_HALF_SECONDS = 40.0
-LEFT_REQUESTS = 0.6
-RARE_REQUESTS = 0.2
+# Demand moves from one model to another within five seconds: a steady rate fades to half in this
+# time.
+STEADY_HALF_LIFE_SECONDS = 4.0
+# If the rate with this shorter half-life is lower, demand is moving away: a load that starts now
+# would complete for requests that are no longer sent.
+RECENT_HALF_LIFE_SECONDS = 2.0
+# Requests to expect for a model without current demand, comparable to a rate times some seconds.
+NEW_MODEL_REQUESTS = 3.0
+NEW_MODEL_HALF_LIFE_SECONDS = 40.0
+FORMERLY_BUSY_REQUESTS = 0.6
+RARE_MODEL_REQUESTS = 0.2
 BUSY_PER_SECOND = 1.0
-# Before anybody asks, the number of copies that the workers begin with tells how
-# much a model is asked for.
-FIRST_LOOK_SECONDS = 6.0
-KEPT_OF_FIRST_COPIES = 0.6
-# What is asked for less often says nothing about what comes next.
-LEAST_TOLD_PER_SECOND = 0.02
-# One late request in some seconds is no reason for a further copy of its adapter.
-LEAST_MISSED_PER_SECOND = 0.5
-# An instance's news replace its former ones; one that is silent needs nothing.
+# Until requests have been observed for this long, the number of copies that the workers start with
+# indicates how much a model is requested.
+OBSERVATION_SECONDS = 6.0
+KEPT_INITIAL_COPIES_FRACTION = 0.6
+# Slower rates do not predict future requests and are left out of a snapshot.
+MIN_SENT_PER_SECOND = 0.02
+# One late request in some seconds does not justify an extra copy of its adapter.
+MIN_OVERLOADS_PER_SECOND = 0.5
+# Each update of an instance replaces its previous one; the waiting requests of an instance that is
+# silent for longer are ignored.
 UPDATE_FRESH_SECONDS = 1.5
 
 
 class WaitingUnit(NamedTuple):
-    """Requests that wait for a unit, each counted as often as it is urgent.
+    """Requests that wait for a unit, each weighted by its urgency.
 
-    The most patient of them gives up after ``max_wait_seconds``.
+    ``max_wait_seconds`` is the longest time that any of them can still wait.
     """
 
     service: str
@@ -51,40 +52,43 @@
     max_wait_seconds: float
 
 
-_STEADY = FadingRate(MEMORY_SECONDS)
-_LEAVING = FadingRate(LEAVING_MEMORY_SECONDS)
+_ZERO_STEADY = FadingRate(STEADY_HALF_LIFE_SECONDS)
+_ZERO_RECENT = FadingRate(RECENT_HALF_LIFE_SECONDS)
 
 
 class Demand:
-    """Arrival rates by unit that fade, and what waits now."""
+    """Keeps fading request rates by unit, and the requests that wait now."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._rates: dict[tuple[str, Unit], FadingRate] = {}
         self._model_rates: dict[tuple[str, str], FadingRate] = {}
         self._recent_rates: dict[tuple[str, str], FadingRate] = {}
-        self._missed_rates: dict[tuple[str, str], FadingRate] = {}
-        self._missed_adapters: dict[tuple[str, Unit], FadingRate] = {}
+        self._overload_rates: dict[tuple[str, str], FadingRate] = {}
+        self._adapter_overload_rates: dict[tuple[str, Unit], FadingRate] = {}
         self._peaks: dict[tuple[str, str], float] = {}
         self._missing_since: dict[tuple[str, str], float] = {}
         self._waiting: dict[str, tuple[float, list[DemandEntry]]] = {}
-        self._first_copies: dict[tuple[str, str], int] = {}
+        self._initial_copies: dict[tuple[str, str], int] = {}
         self._first_arrival_at: float | None = None
-        self._introduced: set[str] = set()
+        self._snapshot_senders: set[str] = set()
 
-    def begin_with(self, service: str, copies_by_model: dict[str, int]) -> None:
-        """Take what the workers of a service hold when this process first sees them."""
+    def note_initial_copies(self, service: str, copies_by_model: dict[str, int]) -> None:
+        """Note how many copies of each model the workers of a service have at the start.
+
+        Numbers that were noted earlier are kept.
+        """
         with self._lock:
             for model, copies in copies_by_model.items():
-                self._first_copies.setdefault((service, model), copies)
+                self._initial_copies.setdefault((service, model), copies)
 
     def receive(self, update: InstanceUpdate) -> None:
-        """Take an instance's news."""
+        """Count the demand in an instance's update."""
         now = time.monotonic()
         with self._lock:
-            if update.demand_snapshot is not None and update.instance not in self._introduced:
-                self._introduced.add(update.instance)
-                self._adopt(update.demand_snapshot, now)
+            if update.demand_snapshot is not None and update.instance not in self._snapshot_senders:
+                self._snapshot_senders.add(update.instance)
+                self._add_snapshot(update.demand_snapshot, now)
             self._waiting[update.instance] = (
                 now,
                 [entry for entry in update.demand if entry.waiting],
@@ -94,13 +98,13 @@
             for entry in update.demand:
                 self._count(entry, now)
 
-    def forget_introductions(self) -> None:
-        """Take what instances have been asked for so far once more; for a new term."""
+    def forget_snapshot_senders(self) -> None:
+        """Accept one more snapshot from each instance, for a new term as leader."""
         with self._lock:
-            self._introduced.clear()
+            self._snapshot_senders.clear()
 
     def snapshot(self) -> DemandSnapshot:
-        """Return what was counted here, for an order giver that knows nothing of it."""
+        """Return the demand counted here, for a leader that has not received it."""
         now = time.monotonic()
         with self._lock:
             first = now if self._first_arrival_at is None else self._first_arrival_at
@@ -109,7 +113,7 @@
                     *key,
                     rate.now(now),
                     self._recent_rates[key].now(now),
-                    self._missed_rates[key].now(now),
+                    self._overload_rates[key].now(now),
                     self._peaks.get(key, 0.0),
                 )
                 for key, rate in self._model_rates.items()
@@ -117,151 +121,163 @@
             units = [
                 UnitRate(service, unit.model, unit.adapter, rate.now(now))
                 for (service, unit), rate in self._rates.items()
-                if rate.now(now) > LEAST_TOLD_PER_SECOND
+                if rate.now(now) > MIN_SENT_PER_SECOND
             ]
         return DemandSnapshot(now - first, models, units)
 
     def waiting(self) -> list[WaitingUnit]:
-        """Return what requests wait for, the least patient first."""
+        """Return the units that requests wait for, the shortest max wait first."""
         now = time.monotonic()
         with self._lock:
             waiting = [
-                (entry, heard_at)
-                for heard_at, entries in self._waiting.values()
-                if now - heard_at < UPDATE_FRESH_SECONDS
+                (entry, received_at)
+                for received_at, entries in self._waiting.values()
+                if now - received_at < UPDATE_FRESH_SECONDS
                 for entry in entries
             ]
         by_unit: dict[tuple[str, Unit], WaitingUnit] = {}
-        for entry, heard_at in waiting:
+        for entry, received_at in waiting:
             key = (entry.service, Unit(entry.model, entry.adapter))
-            patience = entry.max_wait_seconds - (now - heard_at)
-            known = by_unit.get(key, WaitingUnit(*key, 0, 0.0))
-            by_unit[key] = known._replace(
-                requests=known.requests + entry.waiting * entry.weight,
-                max_wait_seconds=max(known.max_wait_seconds, patience),
+            max_wait = entry.max_wait_seconds - (now - received_at)
+            current = by_unit.get(key, WaitingUnit(*key, 0, 0.0))
+            by_unit[key] = current._replace(
+                requests=current.requests + entry.waiting * entry.weight,
+                max_wait_seconds=max(current.max_wait_seconds, max_wait),
             )
         return sorted(by_unit.values(), key=lambda waiting: waiting.max_wait_seconds)
 
     def rate(self, service: str, unit: Unit) -> float:
-        """Return the arrivals a second of ``unit`` alone, faded."""
+        """Return the arrivals per second for ``unit`` alone, faded."""
         rate = self._rates.get((service, unit))
         return rate.now(time.monotonic()) if rate else 0.0
 
     def model_rate(self, service: str, model: str) -> float:
-        """Return the arrivals a second of ``model`` with all its adapters.
+        """Return the arrivals per second for ``model`` with all its adapters.
 
-        It rises as arrivals have lasted, and falls as soon as they end.
+        The lower of the steady and the recent rate: it rises only while arrivals last, and falls
+        as soon as they end.
         """
         key, now = (service, model), time.monotonic()
-        steady = self._model_rates.get(key, _STEADY).now(now)
-        return min(steady, self._recent_rates.get(key, _LEAVING).now(now))
+        steady = self._model_rates.get(key, _ZERO_STEADY).now(now)
+        return min(steady, self._recent_rates.get(key, _ZERO_RECENT).now(now))
 
     def recent_rate(self, service: str, model: str) -> float:
-        """Return the arrivals a second of ``model``, by the memory of `overload_rate`."""
-        return self._recent_rates.get((service, model), _LEAVING).now(time.monotonic())
+        """Return the arrivals per second for ``model``, with the half-life of `overload_rate`."""
+        return self._recent_rates.get((service, model), _ZERO_RECENT).now(time.monotonic())
 
     def overload_rate(self, service: str, model: str) -> float:
-        """Return the requests a second whose holders of ``model`` were too busy."""
-        return self._missed_rates.get((service, model), _LEAVING).now(time.monotonic())
+        """Return the requests per second for ``model`` whose holders were too busy."""
+        return self._overload_rates.get((service, model), _ZERO_RECENT).now(time.monotonic())
 
     def overloaded_adapters(self, service: str) -> list[Unit]:
-        """Return the adapters whose holders were too busy lately, the most missed first."""
+        """Return the adapters whose holders were too busy lately, the most overloaded first."""
         now = time.monotonic()
         with self._lock:
-            self._missed_adapters = {
+            self._adapter_overload_rates = {
                 key: rate
-                for key, rate in self._missed_adapters.items()
-                if rate.now(now) >= LEAST_MISSED_PER_SECOND
+                for key, rate in self._adapter_overload_rates.items()
+                if rate.now(now) >= MIN_OVERLOADS_PER_SECOND
             }
             rates = {
                 unit: rate.now(now)
-                for (name, unit), rate in self._missed_adapters.items()
+                for (name, unit), rate in self._adapter_overload_rates.items()
                 if name == service
             }
         return sorted(rates, key=lambda unit: rates[unit], reverse=True)
 
-    def relieved(self, service: str, unit: Unit) -> None:
-        """Forget what was missed of an adapter that gets a further holder.
+    def clear_overload(self, service: str, unit: Unit) -> None:
+        """Reset the overload of an adapter that gets an extra holder.
 
-        What was late before it came would else bring the adapter to every copy of its
-        model, for as long as the memory of it lasts.
+        Requests that were late before the copy was loaded would otherwise cause the adapter to be
+        loaded at every copy of its model, until their rate has faded.
         """
         with self._lock:
-            self._missed_adapters.pop((service, unit), None)
+            self._adapter_overload_rates.pop((service, unit), None)
 
-    def standing(self, service: str, model: str) -> float:
-        """Return how many requests to expect beyond the present rate, for a model at rest.
+    def baseline_requests(self, service: str, model: str) -> float:
+        """Return how many requests to expect beyond the current rate, for an idle model.
 
-        Demand moves on to models that nobody has asked for yet; those that it has
-        left, and those that are asked for now and then, are less likely next.
+        Demand moves on to models that have not been requested yet. Models that were busy before
+        and models that are requested now and then are less likely to be next.
         """
         peak = self._peaks.get((service, model))
         if peak is None:
-            return max(RARE_REQUESTS, UNSEEN_REQUESTS * self._unseen_part())
-        return LEFT_REQUESTS if peak >= BUSY_PER_SECOND else RARE_REQUESTS
+            return max(RARE_MODEL_REQUESTS, NEW_MODEL_REQUESTS * self._new_model_fraction())
+        return FORMERLY_BUSY_REQUESTS if peak >= BUSY_PER_SECOND else RARE_MODEL_REQUESTS
 
-    def _unseen_part(self) -> float:
-        # What nobody has asked for in a while is no longer likely to be next: it
-        # would else keep its place for ever against what is asked for.
+    def _new_model_fraction(self) -> float:
+        # A model without requests for a while is unlikely to be the next one. Without this decay
+        # it would stay resident for ever in place of models that are requested.
         first = self._first_arrival_at
         since = 0.0 if first is None else time.monotonic() - first
-        return 0.5 ** (since / UNSEEN_HALF_SECONDS)
+        return 0.5 ** (since / NEW_MODEL_HALF_LIFE_SECONDS)
 
-    def missing_seconds(self, service: str, model: str, *, held: bool) -> float:
-        """Return for how long requests have asked in vain for ``model``; 0 once it is held."""
+    def missing_seconds(self, service: str, model: str, *, resident: bool) -> float:
+        """Return how long requests have waited for ``model`` in vain, 0 once it is ``resident``.
+
+        The time starts with the first call while the model is not resident.
+        """
         key = (service, model)
         now = time.monotonic()
         with self._lock:
-            if held:
+            if resident:
                 self._missing_since.pop(key, None)
                 return 0.0
             return now - self._missing_since.setdefault(key, now)
 
     def copies_to_keep(self, service: str, model: str) -> int:
-        """Return how many copies of ``model`` stay until its demand has been seen."""
-        copies = self._first_copies.get((service, model), 0)
-        return 1 if self._seen_enough() else math.ceil(copies * KEPT_OF_FIRST_COPIES)
+        """Return how many copies of ``model`` to keep.
 
-    def _seen_enough(self) -> bool:
+        A fraction of the initial copies until demand has been observed, one copy afterwards.
+        """
+        copies = self._initial_copies.get((service, model), 0)
+        return (
+            1 if self._observation_complete() else math.ceil(copies * KEPT_INITIAL_COPIES_FRACTION)
+        )
+
+    def _observation_complete(self) -> bool:
         first = self._first_arrival_at
-        return first is not None and time.monotonic() - first > FIRST_LOOK_SECONDS
+        return first is not None and time.monotonic() - first > OBSERVATION_SECONDS
 
-    def _adopt(self, snapshot: DemandSnapshot, now: float) -> None:
-        """Add what an instance was asked for before this order giver heard of it.
+    def _add_snapshot(self, snapshot: DemandSnapshot, now: float) -> None:
+        """Add the demand that an instance counted before this process became leader.
 
-        An order giver that takes over while demand moves would else see each model's
-        demand begin at nothing, and give the rare ones that requests wait for the place
-        of further copies of the busy one.
+        A leader that starts while demand moves would otherwise see each model's demand start at
+        zero, and load rare models that requests wait for in place of extra copies of the busy one.
         """
         first = now - snapshot.seconds
-        known = self._first_arrival_at
-        self._first_arrival_at = first if known is None else min(known, first)
-        for told in snapshot.models:
-            key = (told.service, told.model)
-            self._model_rates[key] = self._model_rates.get(key, _STEADY).raised(told.steady, now)
-            self._recent_rates[key] = self._recent_rates.get(key, _LEAVING).raised(told.recent, now)
-            self._missed_rates[key] = self._missed_rates.get(key, _LEAVING).raised(
-                told.overloads, now
+        current = self._first_arrival_at
+        self._first_arrival_at = first if current is None else min(current, first)
+        for received in snapshot.models:
+            key = (received.service, received.model)
+            self._model_rates[key] = self._model_rates.get(key, _ZERO_STEADY).raised(
+                received.steady, now
+            )
+            self._recent_rates[key] = self._recent_rates.get(key, _ZERO_RECENT).raised(
+                received.recent, now
+            )
+            self._overload_rates[key] = self._overload_rates.get(key, _ZERO_RECENT).raised(
+                received.overloads, now
             )
-            if told.peak:
-                self._peaks[key] = self._peaks.get(key, 0.0) + told.peak
+            if received.peak:
+                self._peaks[key] = self._peaks.get(key, 0.0) + received.peak
         for entry in snapshot.units:
             unit = (entry.service, Unit(entry.model, entry.adapter))
-            self._rates[unit] = self._rates.get(unit, _STEADY).raised(entry.steady, now)
+            self._rates[unit] = self._rates.get(unit, _ZERO_STEADY).raised(entry.steady, now)
 
     def _count(self, entry: DemandEntry, now: float) -> None:
         key = (entry.service, Unit(entry.model, entry.adapter))
-        self._rates[key] = self._rates.get(key, _STEADY).plus(entry.arrivals, now)
+        self._rates[key] = self._rates.get(key, _ZERO_STEADY).plus(entry.arrivals, now)
         model = (entry.service, entry.model)
-        steady = self._model_rates.get(model, _STEADY).plus(entry.arrivals, now)
-        recent = self._recent_rates.get(model, _LEAVING).plus(entry.arrivals, now)
-        missed = self._missed_rates.get(model, _LEAVING).plus(entry.overloads, now)
+        steady = self._model_rates.get(model, _ZERO_STEADY).plus(entry.arrivals, now)
+        recent = self._recent_rates.get(model, _ZERO_RECENT).plus(entry.arrivals, now)
+        overloads = self._overload_rates.get(model, _ZERO_RECENT).plus(entry.overloads, now)
         self._model_rates[model] = steady
         self._recent_rates[model] = recent
-        self._missed_rates[model] = missed
+        self._overload_rates[model] = overloads
         if entry.overloads and entry.adapter:
             unit = (entry.service, Unit(entry.model, entry.adapter))
-            before = self._missed_adapters.get(unit, _LEAVING)
-            self._missed_adapters[unit] = before.plus(entry.overloads, now)
+            before = self._adapter_overload_rates.get(unit, _ZERO_RECENT)
+            self._adapter_overload_rates[unit] = before.plus(entry.overloads, now)
         if entry.arrivals:
             self._peaks[model] = max(self._peaks.get(model, 0.0), steady.per_second)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/evictions.py
@@ -1,4 +1,4 @@
-"""What may go from a worker to make room for another model, and what that costs."""
+"""Finds the models that a worker can evict to make room, and the cost of evicting them."""
 
 import time
 from collections.abc import Sequence
@@ -10,27 +10,27 @@
 from redwingscale_daemon._internal.swaps.room import used_mb
 from redwingscale_daemon._internal.swaps.worker_view import WorkerView
 
-# A model that has just come has requests on their way to it.
-LEAST_STAY_SECONDS = 1.5
-# A model that comes or goes is expected to be asked for as it was lately for this
-# long: demand moves within ten seconds.
-HORIZON_SECONDS = 8.0
-# What a second copy of a model that nobody asks for is worth, in requests.
-SECOND_COPY = 0.3
-# The part of the requests that come to a holder in place of another one which is
-# late for it.
-CROWDED_PART = 0.3
-# Until demand is seen, as many copies stay as the workers begin with would suggest.
-UNSEEN_COPY = 5.0
-# A request that runs on a model keeps it from going until it has ended.
-RUNNING_REQUEST = 0.3
-MOST_EVICTIONS = 3
+# A model that has just been loaded has requests on their way to it.
+MIN_RESIDENT_SECONDS = 1.5
+# A model that is loaded or evicted is expected to keep its recent request rate for this long:
+# demand moves within ten seconds.
+DEMAND_HORIZON_SECONDS = 8.0
+# Value of a second copy of a model without requests, in requests.
+IDLE_SECOND_COPY_REQUESTS = 0.3
+# Fraction of the requests moved from an evicted copy to another holder that are late there.
+LATE_REQUESTS_FRACTION = 0.3
+# Cost, in requests, of evicting a copy that `Demand.copies_to_keep` reserves until demand is
+# observed.
+INITIAL_COPY_REQUESTS = 5.0
+# Cost, in requests, of each running request: it delays the unload of its model until it ends.
+RUNNING_REQUEST_COST = 0.3
+MAX_EVICTED_MODELS = 3
 
 
 class Eviction(NamedTuple):
-    """Models to drop, the room that there is then, and the requests that it costs.
+    """Models to evict, the memory that is free then, and the cost in requests.
 
-    ``spare`` tells that another worker holds each of them as well.
+    ``spare`` is true if each of them is resident at another worker as well.
     """
 
     models: tuple[str, ...]
@@ -40,7 +40,7 @@
 
 
 class Evictions:
-    """The choices at each worker, worked out once for all models that ask for room."""
+    """The possible evictions at each worker, computed once for all models that need room."""
 
     def __init__(
         self,
@@ -52,62 +52,66 @@
         self._service = service
         self._engine = engine
         self._demand = demand
-        self.holders = _holder_counts(views)
+        self.holder_counts = _holder_counts(views)
         self._by_upstream: dict[str, list[Eviction]] = {}
 
     def cheapest(
         self, view: WorkerView, needed_mb: float, *, spare_only: bool = False
     ) -> Eviction | None:
-        """Return the cheapest choice that leaves ``needed_mb``, None without one.
+        """Return the cheapest eviction that leaves ``needed_mb`` free, None if there is none.
 
-        Two copies that others hold as well may be a better choice than the only
-        copy of one model.
+        Evicting two copies that are resident elsewhere as well may cost less than evicting the
+        only copy of one model.
         """
         choices = self._by_upstream.get(view.upstream.id)
         if choices is None:
             choices = self._by_upstream[view.upstream.id] = self._choices(view)
-        enough = (
+        sufficient = (
             choice
             for choice in choices
             if choice.room_mb >= needed_mb and (choice.spare or not spare_only)
         )
-        return min(enough, key=lambda choice: choice.loss, default=None)
+        return min(sufficient, key=lambda choice: choice.loss, default=None)
 
     def _choices(self, view: WorkerView) -> list[Eviction]:
-        names = [name for name in view.resident if _may_go(name, view)]
+        names = [name for name in view.resident if _is_evictable(name, view)]
         losses = {name: self._loss(name, view) for name in names}
         return [
             Eviction(
-                out,
-                self._room_mb(view, out),
-                sum(losses[name] for name in out),
-                all(self.holders[name] > 1 for name in out),
+                evicted,
+                self._room_mb(view, evicted),
+                sum(losses[name] for name in evicted),
+                all(self.holder_counts[name] > 1 for name in evicted),
             )
-            for count in range(min(len(names), MOST_EVICTIONS) + 1)
-            for out in combinations(names, count)
+            for count in range(min(len(names), MAX_EVICTED_MODELS) + 1)
+            for evicted in combinations(names, count)
         ]
 
-    def _room_mb(self, view: WorkerView, out: tuple[str, ...]) -> float:
-        stay = {name: adapters for name, adapters in view.resident.items() if name not in out}
-        return self._engine.weights_mb - used_mb(self._engine, stay)
+    def _room_mb(self, view: WorkerView, evicted: tuple[str, ...]) -> float:
+        kept = {name: adapters for name, adapters in view.resident.items() if name not in evicted}
+        return self._engine.weights_mb - used_mb(self._engine, kept)
 
     def _loss(self, name: str, view: WorkerView) -> float:
-        """Return how many requests are lost or late when the copy of ``name`` goes."""
-        running = view.open_for(name) * RUNNING_REQUEST
+        """Return how many requests are lost or late if the copy of ``name`` is evicted."""
+        running = view.open_for(name) * RUNNING_REQUEST_COST
         rate = self._demand.model_rate(self._service, name)
-        others = self.holders.get(name, 1) - 1
+        others = self.holder_counts.get(name, 1) - 1
         if others <= 0:
-            return running + self._demand.standing(self._service, name) + rate * HORIZON_SECONDS
+            return (
+                running
+                + self._demand.baseline_requests(self._service, name)
+                + rate * DEMAND_HORIZON_SECONDS
+            )
         if others < self._demand.copies_to_keep(self._service, name):
-            return running + UNSEEN_COPY
-        # Each holder's part of the requests grows from one in n to one in n - 1.
-        more = rate * HORIZON_SECONDS / (others * (others + 1))
-        return running + SECOND_COPY / others**2 + more * CROWDED_PART
+            return running + INITIAL_COPY_REQUESTS
+        # Each holder's fraction of the requests grows from 1/n to 1/(n - 1).
+        more = rate * DEMAND_HORIZON_SECONDS / (others * (others + 1))
+        return running + IDLE_SECOND_COPY_REQUESTS / others**2 + more * LATE_REQUESTS_FRACTION
 
 
-def _may_go(name: str, view: WorkerView) -> bool:
-    stayed = time.monotonic() - view.settled_at.get(name, float("-inf"))
-    return stayed > LEAST_STAY_SECONDS
+def _is_evictable(name: str, view: WorkerView) -> bool:
+    resident_seconds = time.monotonic() - view.settled_at.get(name, float("-inf"))
+    return resident_seconds > MIN_RESIDENT_SECONDS
 
 
 def _holder_counts(views: Sequence[WorkerView]) -> dict[str, int]:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_count.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/instance_count.py
@@ -1,25 +1,25 @@
-"""How many instances there are, as far as anybody has told."""
+"""The number of instances that share the limits of the deployment."""
 
 from collections.abc import Callable
 
-# Before instances are heard of: a deployment of the usual size.
-USUAL_INSTANCES = 6
+# Assumed until a larger count is known: the size of a usual deployment.
+DEFAULT_INSTANCES = 6
 
 
 class InstanceCount:
-    """The most that this process has heard of: shares counted by it are never too large."""
+    """The highest count known to this process, so that a share is never too large."""
 
-    def __init__(self, recorded: Callable[[], int]) -> None:
-        # What the order giver's row tells as last read: asked for each time, as a process
-        # that has just begun counts by it from its first request on.
-        self._recorded = recorded
-        self._most = USUAL_INSTANCES
+    def __init__(self, read_recorded: Callable[[], int]) -> None:
+        # Returns the count in the leader's row as last read. Called for each count, so that a
+        # process that has just started uses the recorded count from its first request on.
+        self._read_recorded = read_recorded
+        self._highest = DEFAULT_INSTANCES
 
     def __call__(self) -> int:
         """Return the count."""
-        self._most = max(self._most, self._recorded())
-        return self._most
+        self._highest = max(self._highest, self._read_recorded())
+        return self._highest
 
     def receive(self, instances: int) -> None:
-        """Take what the order giver tells."""
-        self._most = max(self._most, instances)
+        """Take the count from an update of the leader."""
+        self._highest = max(self._highest, instances)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/order_client.py
@@ -1,4 +1,4 @@
-"""Calls to model workers: reports and orders."""
+"""HTTP client for the reports of model workers and the orders to them."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -16,14 +16,14 @@
 from redwingscale_daemon._internal.swaps.order import Order, OrderResult
 from redwingscale_daemon._internal.utils.sockets import RESET_ON_CLOSE
 
-CONNECT_SECONDS = 0.5
-# A worker answers in a few milliseconds or, when it means to lose the answer, never.
-ANSWER_SECONDS = 0.6
+CONNECT_TIMEOUT_SECONDS = 0.5
+# A worker answers within a few milliseconds or, if the answer is lost, never.
+RESPONSE_TIMEOUT_SECONDS = 0.6
 _OK = 200
 
 
 class EngineCalls(NamedTuple):
-    """How the calls are written on a platform."""
+    """The encoding of the calls on a platform."""
 
     report_target: str
     order_target: str
@@ -35,11 +35,11 @@
 
 
 class OrderClient:
-    """Each call is sent once, on a kept connection.
+    """Sends each call once, on a persistent connection.
 
-    A connection without an answer is reset, not ended: an order that a cut holds up
-    would else be delivered when the cut ends, seconds after another giver's first
-    one. With a reset the sender's buffer is dropped.
+    A connection without an answer is reset rather than closed: an order delayed by a network cut
+    would otherwise be delivered when the cut ends, seconds after the first order of another
+    leader. A reset drops the sender's buffer.
     """
 
     def __init__(
@@ -48,26 +48,26 @@
         on_result: Callable[[OrderResult], None] = lambda _: None,
         on_backpressure: Callable[[str, Backpressure], None] = lambda *_: None,
         *,
-        connect_seconds: float = CONNECT_SECONDS,
-        answer_seconds: float = ANSWER_SECONDS,
+        connect_timeout_seconds: float = CONNECT_TIMEOUT_SECONDS,
+        response_timeout_seconds: float = RESPONSE_TIMEOUT_SECONDS,
     ) -> None:
         self._calls = calls
         self._on_result = on_result
-        # Takes an upstream id and what an answer says of the upstream.
+        # Called with an upstream id and the backpressure in the upstream's answer.
         self._on_backpressure = on_backpressure
         self._pools = urllib3.PoolManager(
             num_pools=64,
             maxsize=1,
             retries=False,
-            timeout=urllib3.Timeout(connect=connect_seconds, read=answer_seconds),
+            timeout=urllib3.Timeout(connect=connect_timeout_seconds, read=response_timeout_seconds),
             socket_options=[*HTTPConnection.default_socket_options, RESET_ON_CLOSE],
         )
 
     def report(self, upstream: Upstream) -> EngineReport | None:
-        """Return the worker's report, None where there is no sound answer."""
+        """Return the worker's report, None without a valid answer."""
         try:
             response = self._pools.request("GET", _url(upstream, self._calls.report_target))
-            self._note(upstream, response)
+            self._note_backpressure(upstream, response)
             if response.status != _OK:
                 return None
             return self._calls.decode_report(response.data)
@@ -75,7 +75,7 @@
             return None
 
     def order(self, upstream: Upstream, order: Order) -> OrderResult:
-        """Send ``order``; `OrderResult.UNKNOWN` when it may be carried out or not."""
+        """Send ``order``; return `OrderResult.UNKNOWN` if it may be carried out or not."""
         result = self._send(upstream, order)
         self._on_result(result)
         return result
@@ -92,10 +92,10 @@
             return OrderResult.REFUSED
         except HTTPError:
             return OrderResult.UNKNOWN
-        self._note(upstream, response)
+        self._note_backpressure(upstream, response)
         return self._calls.order_result(response.status)
 
-    def _note(self, upstream: Upstream, response: BaseHTTPResponse) -> None:
+    def _note_backpressure(self, upstream: Upstream, response: BaseHTTPResponse) -> None:
         backpressure = self._calls.read_backpressure(response.status, response.headers)
         self._on_backpressure(upstream.id, backpressure)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limit_gossip.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/rate_limit_gossip.py
@@ -1,4 +1,4 @@
-"""Tells other instances of rate limits while nobody gives orders."""
+"""Sends changed rate limits to other instances while there is no leader."""
 
 import random
 import threading
@@ -12,16 +12,17 @@
 from redwingscale_daemon._internal.fleet.rate_limit_messages import RateLimitEntry
 from redwingscale_daemon._internal.fleet.rate_limits import RateLimits
 
-# Peers that each instance tells of what it has just learned; they tell others.
+# The number of peers to which an instance sends a change; they forward it to others.
 FANOUT = 4
-# A change is kept for so long, in case the order giver has just been lost.
-KEPT_SECONDS = 1.0
-LOOK_SECONDS = 0.1
+# A change stays pending for this long, in case the leader was lost just before it and its
+# silence is not detected yet.
+PENDING_SECONDS = 1.0
+CHECK_SECONDS = 0.1
 
-Tell = Callable[[str, list[RateLimitEntry]], None]
+Push = Callable[[str, list[RateLimitEntry]], None]
 
 
-class _Kept(NamedTuple):
+class _Pending(NamedTuple):
     entry: RateLimitEntry
     since: float
 
@@ -31,11 +32,11 @@
 
 
 class RateLimitGossip:
-    """Passes changes on from instance to instance.
+    """Forwards changes of rate limits from instance to instance.
 
-    The order giver tells all within a quarter of a second. Without one, each of a hundred
-    instances would learn of a limit by a request of its own, and those alone are more than
-    the limit.
+    A leader announces a change to all instances within a quarter of a second. Without a
+    leader, each of a hundred instances would learn of a limit by a request of its own, and
+    these requests alone would exceed the limit.
     """
 
     def __init__(
@@ -43,53 +44,55 @@
         rates: RateLimits,
         peers: Callable[[], Sequence[str]],
         leader_silent: Callable[[], bool],
-        tell: Tell,
+        push: Push,
     ) -> None:
         self._rates = rates
         self._peers = peers
         self._leader_silent = leader_silent
-        self._tell = tell
+        self._push = push
         self._wake = threading.Event()
         self._stopped = False
-        # What has changed and was not passed on yet, by upstream.
-        self._kept_by_id: dict[str, _Kept] = {}
-        # Not for secrets: it only spreads messages.
+        # Changes that were not forwarded, by upstream id.
+        self._pending_by_id: dict[str, _Pending] = {}
+        # Not for secrets: it only spreads the messages.
         self._random = random.Random()
         self._thread = threading.Thread(target=self._run, name="rate-gossip", daemon=True)
         rates.on_change(self._wake.set)
 
     def start(self) -> None:
-        """Begin to wait for changes."""
+        """Start the thread that waits for changes."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End it."""
+        """Stop the thread."""
         self._stopped = True
         self._wake.set()
         self._thread.join(1.0)
 
     def _run(self) -> None:
         while not self._stopped:
-            self._wake.wait(LOOK_SECONDS if self._kept_by_id else None)
+            self._wake.wait(CHECK_SECONDS if self._pending_by_id else None)
             self._wake.clear()
-            self.look(time.monotonic())
-
-    def look(self, now: float) -> None:
-        """Pass on what has changed lately, if no order giver is heard."""
-        changed = {entry.upstream: _Kept(entry, now) for entry in self._rates.drain_changed()}
-        kept = self._kept_by_id | changed
-        self._kept_by_id = {key: one for key, one in kept.items() if now - one.since < KEPT_SECONDS}
-        if self._kept_by_id and self._leader_silent():
-            self._pass_on([one.as_of(now) for one in self._kept_by_id.values()])
-            self._kept_by_id = {}
-
-    def _pass_on(self, changed: list[RateLimitEntry]) -> None:
-        known = self._peers()
-        told = self._random.sample(known, min(FANOUT, len(known)))
+            self.check(time.monotonic())
+
+    def check(self, now: float) -> None:
+        """Forward the recent changes if the leader is silent."""
+        changed = {entry.upstream: _Pending(entry, now) for entry in self._rates.drain_changed()}
+        pending = self._pending_by_id | changed
+        self._pending_by_id = {
+            key: one for key, one in pending.items() if now - one.since < PENDING_SECONDS
+        }
+        if self._pending_by_id and self._leader_silent():
+            self._forward([one.as_of(now) for one in self._pending_by_id.values()])
+            self._pending_by_id = {}
+
+    def _forward(self, changed: list[RateLimitEntry]) -> None:
+        addresses = self._peers()
+        targets = self._random.sample(addresses, min(FANOUT, len(addresses)))
         log_event(
             "rate_limits_passed_on",
             upstreams=",".join(entry.upstream for entry in changed),
-            peers=len(told),
+            peers=len(targets),
         )
-        for address in told:
-            self._tell(address, changed)
+        for address in targets:
+            self._push(address, changed)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_ledger.py
@@ -1,4 +1,4 @@
-"""What one worker holds, as its reports and its answers to orders tell it."""
+"""Tracks what is resident at one worker, by its reports and its answers to orders."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -13,24 +13,26 @@
 from redwingscale_daemon._internal.swaps.order import Load, OrderResult, Unload
 from redwingscale_daemon._internal.swaps.room import used_mb
 from redwingscale_daemon._internal.swaps.unanswered import (
-    LATEST_SECONDS,
+    MAX_DELIVERY_SECONDS,
     UnansweredLoad,
-    late_adapters,
-    late_mb,
+    pending_adapters,
+    pending_mb,
 )
 
 
 class WorkerLedger:
-    """Known from a report, then kept by the answers; unknown after what is no clear answer.
+    """A worker's state: taken from a report, then updated by the answers to orders.
 
-    A report of another start of the process says that all of it is void: the worker
-    holds nothing and gets no order until the list names the new start, which has a
-    ledger of its own.
+    After an ambiguous answer the state is unknown until the next report.
 
-    An unload of an adapter that has gone is answered like one that is carried out, and only
-    the latter is counted by the worker. After an order without an answer, which may have
-    dropped it, a report has to tell the number: an order with too high a number may be
-    carried out seconds later, beside what was loaded in its place.
+    A report of another start of the process supersedes the ledger: nothing is resident at the
+    worker any more, and it gets no order until the upstream list has the new start, which gets its
+    own ledger.
+
+    An unload of an adapter that is not resident gets the same answer as one that is carried out,
+    but the worker counts only the latter. After an order without an answer, which may have
+    unloaded the adapter, the number must be read from a report: an order with too high a number
+    may be carried out seconds later, in addition to what was loaded in its place.
     """
 
     def __init__(
@@ -42,22 +44,22 @@
         self._upstream = upstream
         self._engine = engine
         self.report: EngineReport | None = None
-        # Of this start of the process and of former ones under its name.
+        # Loads sent to this start of the process and to former ones with its name.
         self.unanswered = list(unanswered)
         self.superseded = False
         self._unanswered_until = float("-inf")
 
     @property
     def orders_accepted(self) -> int:
-        """The number that the next order must name; 0 while it isn't known."""
+        """The number that the next order must carry; 0 while it is unknown."""
         return self.report.orders_accepted if self.report else 0
 
-    def forget(self) -> None:
-        """Hold nothing for known until the next report."""
+    def invalidate(self) -> None:
+        """Treat the worker's state as unknown until the next report."""
         self.report = None
 
-    def is_own(self, report: EngineReport) -> bool:
-        """Return whether ``report`` is of this start of the process; else void the ledger."""
+    def check_start(self, report: EngineReport) -> bool:
+        """Return whether ``report`` is of this start of the process; else supersede the ledger."""
         if report.started_at_ms == self._upstream.started_at_ms:
             return True
         self.superseded = True
@@ -70,74 +72,74 @@
         )
         return False
 
-    def held(
-        self, going: frozenset[str], going_adapters: frozenset[Unit]
+    def resident(
+        self, evicting: frozenset[str], evicting_adapters: frozenset[Unit]
     ) -> AdaptersByModel | None:
-        """Return what requests may be sent for, None while it isn't known."""
+        """Return the models and adapters that requests may be sent for, None while unknown."""
         if self.superseded:
             return {}
         if self.report is None:
             return None
         return {
-            name: frozenset(one for one in adapters if Unit(name, one) not in going_adapters)
+            name: frozenset(one for one in adapters if Unit(name, one) not in evicting_adapters)
             for name, adapters in self.report.resident.items()
-            if name not in going
+            if name not in evicting
         }
 
     def note_order(self, action: Load | Unload, result: OrderResult) -> None:
-        """Count an order that the worker has taken, or may take later."""
+        """Count an order that the worker has accepted, or may accept later."""
         report = self.report
         assert report is not None
         if result is OrderResult.UNKNOWN:
-            self._unanswered_until = time.monotonic() + LATEST_SECONDS
-        idle_adapter = bool(action.unit.adapter) and isinstance(action, Unload)
-        if idle_adapter and result is OrderResult.HOLDS and self._may_have_gone():
-            self.forget()
+            self._unanswered_until = time.monotonic() + MAX_DELIVERY_SECONDS
+        unloads_adapter = bool(action.unit.adapter) and isinstance(action, Unload)
+        if unloads_adapter and result is OrderResult.IN_EFFECT and self._may_be_unloaded():
+            self.invalidate()
             return
         if result is OrderResult.UNKNOWN and isinstance(action, Load):
-            late = UnansweredLoad(
+            pending = UnansweredLoad(
                 report.orders_accepted,
                 self._needed_mb(action.unit),
                 time.monotonic(),
                 bool(action.unit.adapter),
             )
-            self.unanswered.append(late)
-        if result is OrderResult.ACCEPTED or (result is OrderResult.HOLDS and idle_adapter):
+            self.unanswered.append(pending)
+        if result is OrderResult.ACCEPTED or (result is OrderResult.IN_EFFECT and unloads_adapter):
             self.report = report._replace(orders_accepted=report.orders_accepted + 1)
 
-    def _may_have_gone(self) -> bool:
+    def _may_be_unloaded(self) -> bool:
         return time.monotonic() < self._unanswered_until
 
-    def holds_adapter(self, unit: Unit) -> bool:
-        """Return whether the adapter of ``unit`` is there, as far as it is known."""
+    def has_adapter(self, unit: Unit) -> bool:
+        """Return whether the adapter of ``unit`` is known to be resident."""
         return self.report is not None and unit.adapter in self.report.resident.get(unit.model, ())
 
-    def note_adapter(self, unit: Unit, *, held: bool) -> None:
-        """Note an adapter that has come or gone."""
+    def note_adapter(self, unit: Unit, *, resident: bool) -> None:
+        """Note that an adapter has been loaded or unloaded."""
         report = self.report
         assert report is not None
         adapters = report.resident.get(unit.model, frozenset())
-        changed = adapters | {unit.adapter} if held else adapters - {unit.adapter}
+        changed = adapters | {unit.adapter} if resident else adapters - {unit.adapter}
         arriving = frozenset(one for one in report.arriving if one != unit)
         self.report = report._replace(
             resident={**report.resident, unit.model: changed}, arriving=arriving
         )
 
     def has_room(self, unit: Unit) -> bool:
-        """Return whether ``unit`` fits beside all that is there or may still arrive."""
+        """Return whether ``unit`` fits beside all that is resident or may still be loaded."""
         engine, report = self._engine(), self.report
         if engine is None or report is None or unit.model not in engine.models_by_name:
             return False
         if unit.adapter and self._adapters(report) >= engine.adapter_slots:
             return False
         arriving = sum(map(self._needed_mb, report.arriving))
-        late = late_mb(self.unanswered, report.orders_accepted)
-        taken = used_mb(engine, report.resident) + arriving + late
+        pending = pending_mb(self.unanswered, report.orders_accepted)
+        taken = used_mb(engine, report.resident) + arriving + pending
         return taken + self._needed_mb(unit) <= engine.weights_mb
 
     def _adapters(self, report: EngineReport) -> int:
-        late = late_adapters(self.unanswered, report.orders_accepted)
-        return sum(map(len, report.resident.values())) + len(report.arriving) + late
+        pending = pending_adapters(self.unanswered, report.orders_accepted)
+        return sum(map(len, report.resident.values())) + len(report.arriving) + pending
 
     def _needed_mb(self, unit: Unit) -> float:
         engine = self._engine()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/worker_orders.py
@@ -1,4 +1,4 @@
-"""Gives the orders to one model worker, one after the other."""
+"""Sends orders to one model worker, one after the other."""
 
 import threading
 import time
@@ -18,32 +18,33 @@
 from redwingscale_daemon._internal.swaps.unanswered import UnansweredLoad
 from redwingscale_daemon._internal.swaps.worker_ledger import WorkerLedger
 
-# Instances hear within some milliseconds that a model goes; what is on its way
-# to it arrives meanwhile.
+# Instances stop routing to a model within some milliseconds after its eviction is announced;
+# requests that are in flight arrive meanwhile.
 ROUTE_AWAY_SECONDS = 0.12
-# Reports are a tenth of a second old; each is a call that costs.
+# Reports are a tenth of a second old, and each poll is a call to the worker.
 POLL_SECONDS = 0.15
-# The same for an adapter, whose load takes no longer than this.
-ADAPTER_AWAY_SECONDS = 0.02
-# An adapter is there after 5 to 14 ms, later while many come at once.
-ADAPTER_SECONDS = 0.02
-# An unload waits for its runs; streams last a few seconds.
-UNLOAD_LIMIT_SECONDS = 12.0
-# An upstream with a rate limit or a retry time may take a call later than this.
-TURN_SECONDS = 4.0
+# `ROUTE_AWAY_SECONDS` of an adapter, which takes no longer than this to load.
+ADAPTER_ROUTE_AWAY_SECONDS = 0.02
+# An adapter is loaded within 5 to 14 ms, later if many are loaded at once.
+ADAPTER_LOAD_SECONDS = 0.02
+# An unload waits for the requests that run on the unit; streams last a few seconds.
+UNLOAD_TIMEOUT_SECONDS = 12.0
+# The rate limit or the retry time of an upstream may allow no call for longer than this; the order
+# counts as refused then.
+MAY_CALL_TIMEOUT_SECONDS = 4.0
 # Loads take up to three times as long while many run at once.
-LOAD_LIMIT_FACTOR = 4.0
-# A worker whose report could not be had is left alone for a moment.
-UNREACHABLE_SECONDS = 0.5
+LOAD_TIMEOUT_FACTOR = 4.0
+# Pause before the next task for a worker whose report could not be read.
+UNREACHABLE_PAUSE_SECONDS = 0.5
 
 
 class OrderAuthority(NamedTuple):
-    """Who gives the orders.
+    """The authority to send orders, and the fence that they carry.
 
-    ``fence`` returns the number to use now, None without the right. Where another
-    process gave the orders before, ``succeeds_another`` tells so, and its last
-    order is ``handover_pause_seconds`` old when the first one is given here. ``may_call`` tells
-    whether the rate limit and the retry time of an upstream let one more call through now.
+    ``fence`` returns the fence to use now, None without the leader lease. ``succeeds_another``
+    returns whether another process was leader before; its last order is ``handover_pause_seconds``
+    old when the first one is sent here. ``may_call`` returns whether the rate limit and the retry
+    time of an upstream allow one more call now.
     """
 
     instance: str
@@ -54,15 +55,14 @@
 
 
 class WorkerOrders:
-    """The ledger of one worker; one task at a time, each in a thread of its own.
+    """Runs the tasks of one worker, one at a time, each in a thread of its own.
 
-    A thread that waits for the next task would be one for each worker: 78 of them at
-    an order giver that has three or four tasks at a time.
+    No thread waits for the next task: a leader would have one for each of its 78 workers, but has
+    three or four tasks at a time.
 
-    What the worker holds is known from its report, then kept by its answers. An
-    order without an answer leaves it unknown, and nothing more is loaded until
-    a report tells: two loads that both arrive would overfill the memory, and
-    the worker would crash under its running models.
+    The worker's state is taken from its report, then updated by its answers. An order without an
+    answer makes it unknown, and nothing more is loaded until the next report: two loads that both
+    arrive would overfill the memory, and the worker would crash with its running models.
     """
 
     def __init__(
@@ -79,74 +79,74 @@
         self._client = client
         self._authority = authority
         self._on_change = on_change
-        self._going: frozenset[str] = frozenset()
-        self._going_adapters: frozenset[Unit] = frozenset()
-        self._busy_with: Task | None = None
+        self._evicting_models: frozenset[str] = frozenset()
+        self._evicting_adapters: frozenset[Unit] = frozenset()
+        self._task: Task | None = None
         self._ready_at = 0.0
         self._blocked_until = 0.0
         self.settled_at: dict[str, float] = {}
 
     @property
     def free(self) -> bool:
-        """Whether a task can be given."""
+        """Whether a task can be started."""
         if self.ledger.superseded:
             return False
-        return self._busy_with is None and time.monotonic() >= self._blocked_until
+        return self._task is None and time.monotonic() >= self._blocked_until
 
     @property
     def loading(self) -> str:
         """The model that is being loaded, empty for none."""
-        task = self._busy_with
+        task = self._task
         return task.model if isinstance(task, SwapTask) else ""
 
     @property
     def ready_in(self) -> float:
-        """Seconds until the model that is being loaded should be there."""
+        """Seconds until the model that is being loaded is expected to be resident."""
         return max(0.0, self._ready_at - time.monotonic())
 
-    def held(self) -> AdaptersByModel | None:
-        """Return what requests may be sent for, None while it isn't known."""
-        return self.ledger.held(self._going, self._going_adapters)
+    def resident(self) -> AdaptersByModel | None:
+        """Return the models and adapters that requests may be sent for, None while unknown."""
+        return self.ledger.resident(self._evicting_models, self._evicting_adapters)
 
-    def give(self, task: Task) -> None:
-        """Carry out ``task``; only while `free`."""
-        self._busy_with = task
+    def start(self, task: Task) -> None:
+        """Run ``task`` in a new thread; only while `free`."""
+        self._task = task
         if isinstance(task, SwapTask):
             self._ready_at = time.monotonic() + ROUTE_AWAY_SECONDS + task.load_seconds
         thread = threading.Thread(target=self._run, args=(task,), name="orders", daemon=True)
         try:
             thread.start()
         except RuntimeError as error:
-            # Without room for a thread the task is planned anew a moment later; a
-            # worker left busy with it would never get another order.
+            # If no thread can be started, the task is planned again a moment later; a worker that
+            # stayed busy with it would never get another order.
             log_event("order_task_failed", level="ERROR", error=repr(error))
-            self._blocked_until = time.monotonic() + UNREACHABLE_SECONDS
-            self._ended()
+            self._blocked_until = time.monotonic() + UNREACHABLE_PAUSE_SECONDS
+            self._finish_task()
 
     def refresh(self) -> None:
-        """Ask for a report at the next task, or now when there is none."""
-        if self._busy_with is None:
-            self.ledger.forget()
+        """Let the next task start with a report; no effect while a task runs."""
+        if self._task is None:
+            self.ledger.invalidate()
 
     def _run(self, task: Task) -> None:
         try:
             self._carry_out(task)
         except Exception as error:
-            # The worker must become free again: it would never get another order.
+            # The worker must become free again, or it would never get another order.
             log_event("order_task_failed", level="ERROR", error=repr(error))
-            self.ledger.forget()
+            self.ledger.invalidate()
         finally:
-            self._ended()
+            self._finish_task()
 
-    def _ended(self) -> None:
-        self._going = frozenset()
-        self._going_adapters = frozenset()
-        self._busy_with = None
+    def _finish_task(self) -> None:
+        self._evicting_models = frozenset()
+        self._evicting_adapters = frozenset()
+        self._task = None
         self._on_change()
 
     def _carry_out(self, task: Task) -> None:
-        if self.ledger.report is None and not self._learn():
-            self._blocked_until = time.monotonic() + UNREACHABLE_SECONDS
+        if self.ledger.report is None and not self._fetch_report():
+            self._blocked_until = time.monotonic() + UNREACHABLE_PAUSE_SECONDS
             return
         match task:
             case SwapTask():
@@ -154,50 +154,50 @@
             case AdapterTask():
                 done = self._load_adapter(task)
         if not done:
-            # Whatever went wrong, the next task begins with a report; one that is
-            # read at once would be from before what went wrong.
-            self.ledger.forget()
+            # Whatever failed, the next task starts with a report; a report that is read at once
+            # would be from before the failure.
+            self.ledger.invalidate()
             self._blocked_until = time.monotonic() + POLL_SECONDS
 
-    def _learn(self) -> bool:
-        report = self._own_report()
+    def _fetch_report(self) -> bool:
+        report = self._query_report()
         if report is None or report.busy:
             log_event("report_unusable", upstream=self.upstream.id, busy=report is not None)
             return False
         self.ledger.report = report
         return True
 
-    def _own_report(self) -> EngineReport | None:
-        """Return the worker's report, None without one or from another start of it."""
+    def _query_report(self) -> EngineReport | None:
+        """Return the worker's report, None without one or with one of another start."""
         if not self._authority.may_call(self.upstream.id):
             return None
         report = self._client.report(self.upstream)
-        if report is None or self.ledger.is_own(report):
+        if report is None or self.ledger.check_start(report):
             return report
         self._on_change()
         return None
 
     def _swap(self, task: SwapTask) -> bool:
-        """Return whether what the worker holds is still known for certain."""
+        """Return whether the worker's state is still known for certain."""
         if task.evicted:
-            self._going = frozenset(task.evicted)
+            self._evicting_models = frozenset(task.evicted)
             self._on_change()
             time.sleep(ROUTE_AWAY_SECONDS)
         for name in task.evicted:
             if not self._unload(name):
                 return False
         if not self.ledger.has_room(Unit(task.model)):
-            # The plan was made from an older list; what the report has just told
-            # stays known, so that the next plan fits.
+            # The plan was made from an older list; the state that was just reported is kept, so
+            # that the next plan fits.
             log_event("swap_has_no_room", upstream=self.upstream.id, model=task.model)
             return True
         unit = Unit(task.model)
-        if self._order(Load(unit)) not in (OrderResult.ACCEPTED, OrderResult.HOLDS):
+        if self._order(Load(unit)) not in (OrderResult.ACCEPTED, OrderResult.IN_EFFECT):
             return False
         self._ready_at = time.monotonic() + task.load_seconds
-        limit = task.load_seconds * LOAD_LIMIT_FACTOR + 1.0
+        timeout = task.load_seconds * LOAD_TIMEOUT_FACTOR + 1.0
         time.sleep(max(0.0, task.load_seconds - POLL_SECONDS))
-        if not self._until(lambda report: task.model in report.resident, limit):
+        if not self._poll_until(lambda report: task.model in report.resident, timeout):
             return False
         self.settled_at[task.model] = time.monotonic()
         log_event("model_loaded", upstream=self.upstream.id, model=task.model)
@@ -205,40 +205,41 @@
 
     def _unload(self, name: str) -> bool:
         result = self._order(Unload(Unit(name)))
-        if result not in (OrderResult.ACCEPTED, OrderResult.HOLDS):
+        if result not in (OrderResult.ACCEPTED, OrderResult.IN_EFFECT):
             return False
-        if not self._until(lambda report: name not in report.resident, UNLOAD_LIMIT_SECONDS):
+        if not self._poll_until(lambda report: name not in report.resident, UNLOAD_TIMEOUT_SECONDS):
             return False
         log_event("model_unloaded", upstream=self.upstream.id, model=name)
         return True
 
     def _load_adapter(self, task: AdapterTask) -> bool:
         # The plan may have been made from an older list.
-        evicted = [unit for unit in task.evicted if self.ledger.holds_adapter(unit)]
+        evicted = [unit for unit in task.evicted if self.ledger.has_adapter(unit)]
         if evicted:
-            self._going_adapters = frozenset(evicted)
+            self._evicting_adapters = frozenset(evicted)
             self._on_change()
-            time.sleep(ADAPTER_AWAY_SECONDS)
+            time.sleep(ADAPTER_ROUTE_AWAY_SECONDS)
         for unit in evicted:
             result = self._order(Unload(unit))
-            if result is not OrderResult.HOLDS:
-                # A request still uses it: it goes later, and its place isn't free yet.
+            if result is not OrderResult.IN_EFFECT:
+                # A request still uses the adapter: it is unloaded later, and its slot is not free
+                # yet.
                 return False
             if self.ledger.report is None:
                 return False
-            self.ledger.note_adapter(unit, held=False)
+            self.ledger.note_adapter(unit, resident=False)
         if not self.ledger.has_room(task.unit):
             log_event("adapter_has_no_room", upstream=self.upstream.id, unit=task.unit)
             return False
-        if self._order(Load(task.unit)) not in (OrderResult.ACCEPTED, OrderResult.HOLDS):
+        if self._order(Load(task.unit)) not in (OrderResult.ACCEPTED, OrderResult.IN_EFFECT):
             return False
-        time.sleep(ADAPTER_SECONDS)
-        self.ledger.note_adapter(task.unit, held=True)
+        time.sleep(ADAPTER_LOAD_SECONDS)
+        self.ledger.note_adapter(task.unit, resident=True)
         return True
 
     def _order(self, action: Load | Unload) -> OrderResult:
-        """Send one order, counted in the ledger if the worker has taken it."""
-        if not self._awaits_turn():
+        """Send one order, and count it in the ledger if the worker has accepted it."""
+        if not self._wait_until_call_allowed():
             return OrderResult.REFUSED
         fence = self._authority.fence()
         if self.ledger.report is None or fence is None:
@@ -258,25 +259,31 @@
         self.ledger.note_order(action, result)
         return result
 
-    def _awaits_turn(self) -> bool:
-        """Wait until the worker takes a call; return whether it does."""
-        end = time.monotonic() + TURN_SECONDS
+    def _wait_until_call_allowed(self) -> bool:
+        """Wait until the worker may be called; return False if that takes too long."""
+        end = time.monotonic() + MAY_CALL_TIMEOUT_SECONDS
         while not self._authority.may_call(self.upstream.id):
             if time.monotonic() > end:
                 return False
             time.sleep(POLL_SECONDS)
         return True
 
-    def _until(self, holds: Callable[[EngineReport], bool], limit_seconds: float) -> bool:
-        """Poll reports until one that is not busy ``holds``; keep it as the ledger."""
+    def _poll_until(
+        self, condition: Callable[[EngineReport], bool], timeout_seconds: float
+    ) -> bool:
+        """Poll for a report that is not busy and up to date; return whether ``condition`` applies.
+
+        A report is up to date if it counts all orders that the worker has accepted. It becomes the
+        state in the ledger.
+        """
         expected = self.ledger.orders_accepted
-        end = time.monotonic() + limit_seconds
+        end = time.monotonic() + timeout_seconds
         while time.monotonic() < end:
-            report = self._own_report()
+            report = self._query_report()
             if self.ledger.superseded:
                 return False
             if report is not None and report.orders_accepted >= expected and not report.busy:
                 self.ledger.report = report
-                return holds(report)
+                return condition(report)
             time.sleep(POLL_SECONDS)
         return False
