--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
@@ -133,9 +133,7 @@
     ) -> bytes | Iterator[bytes]:
         accepted = self._current.get()
         if accepted is None:
-            raise Refusal(
-                503, "no_configuration", "no configuration is known yet", retry_after_seconds=1.0
-            )
+            raise Refusal(503, "no_configuration", "none is known yet", retry_after_seconds=1.0)
         configuration = accepted.configuration
         caller = authenticate(configuration, cherrypy.request.headers)
         match cherrypy.request.method, segments:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/generation_request.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/generation_request.py
@@ -39,7 +39,7 @@
     except msgspec.MsgspecError as error:
         raise Refusal(400, "body_invalid", str(error)) from None
     if chat and not body.messages:
-        raise Refusal(400, "body_invalid", "`$.messages` must contain at least one message")
+        raise Refusal(400, "body_invalid", "`$.messages` must hold at least one message")
     if not chat and body.prompt is None:
         raise Refusal(400, "body_invalid", "`$.prompt` is missing")
     if not 1 <= body.max_tokens <= MAX_TOKENS_LIMIT:
@@ -93,7 +93,7 @@
     services = configuration.model_services(caller.name, unit.model)
     usable = [s for s in services if _offers(s, unit) and named in ("", s.name)]
     if not usable:
-        raise Refusal(404, "model_unknown", f"no matching service offers {unit.model!r}")
+        raise Refusal(404, "model_unknown", f"no service offers {unit.model!r} in this way")
     return usable[0]
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/events.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/events.py
@@ -31,10 +31,10 @@
         pending += data
         yield from _whole_events(pending)
         if len(pending) > MAX_EVENT_BYTES:
-            raise HTTPException("event exceeds the size limit")
+            raise HTTPException("an event has no end")
     finish_response(response)
     if pending:
-        raise HTTPException("response ended inside an event")
+        raise HTTPException("the answer ended inside an event")
 
 
 def _whole_events(pending: bytearray) -> Iterator[Event]:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/holder_wait.py
@@ -144,9 +144,7 @@
         # A request that still waits when the process ends would have its connection
         # closed without a response, although the stop was planned.
         if self.open_requests.ends_at - time.monotonic() < STOP_MARGIN_SECONDS:
-            raise final_refusal(
-                call, "stopping", "the instance is stopping", STOPPING_RETRY_SECONDS
-            )
+            raise final_refusal(call, "stopping", "the instance stops", STOPPING_RETRY_SECONDS)
 
     def _check_retry_times(
         self, call: Call, prompt: Prompt, throttled: list[str], ready_in: float | None
@@ -156,7 +154,7 @@
         if not throttled or retry_in <= max(0.0, _max_wait_seconds(call)):
             return
         self.demand.note_overload(call.service, prompt.unit)
-        detail = f"{','.join(throttled)} accept requests again in {retry_in:.2f} s"
+        detail = f"{','.join(throttled)} may be asked again in {retry_in:.2f} s"
         retry_seconds = min(retry_in, ready_in or NO_HOLDER_RETRY_SECONDS)
         raise final_refusal(call, "upstream_rejects", detail, retry_seconds)
 
@@ -164,7 +162,7 @@
         if (retry_seconds := self.caller_retry_seconds()) is not None:
             # The leader does not receive this instance's demand: the caller should retry at
             # another instance.
-            raise final_refusal(call, "cut_off", f"no updates about {prompt.unit}", retry_seconds)
+            raise final_refusal(call, "cut_off", f"no news of {prompt.unit}", retry_seconds)
         left = _max_wait_seconds(call)
         ready_in = self.residency.ready_in(str(prompt.unit))
         throttled = self.chooser.throttled_holders(call.service, prompt, call.attempts.tried)
@@ -203,8 +201,8 @@
     return Refusal(
         503,
         "overloaded",
-        f"{found.upstream.id} would begin in {expected:.2f} s behind a queue of {queue:.2f} s; "
-        f"at most {longest:.2f} s of queue and {max_wait:.2f} s in all are accepted",
+        f"{found.upstream.id} would begin in {expected:.2f} s behind {queue:.2f} s of others; "
+        f"{longest:.2f} s of them and {max_wait:.2f} s in all are worth waiting",
         retry_after_seconds=max(OVERLOADED_RETRY_SECONDS, excess),
     )
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/plain_relay.py
@@ -111,7 +111,7 @@
             body = read_response_body(response)
         except (HTTPException, OSError, UpstreamSilent) as error:
             answering.connection.discard()
-            lost = Lost(upstream, f"response broke off: {error!r}")
+            lost = Lost(upstream, f"answer broke off: {error!r}")
             note_failure(self._parts, call, lost)
             if not call.attempts.take_retry(lost):
                 raise _failure_refusal(lost.reason) from error
@@ -146,7 +146,7 @@
                 call.attempts.failure = FailedResponse(response.status, headers, body)
             return False
         if unsigned:
-            raise _failure_refusal("the response is not signed")
+            raise _failure_refusal("the answer bears no signature")
         headers = self._parts.dialect.response_headers(response)
         call.reply.send(response.status, headers, body)
         return True
@@ -180,4 +180,4 @@
 
 
 def _time_limit_refusal() -> Refusal:
-    return Refusal(504, "time_limit", "no response within the time limit", run=RunState.UNKNOWN)
+    return Refusal(504, "time_limit", "no answer within the time limit", run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -148,7 +148,7 @@
             raise Refusal(
                 503,
                 "no_thread",
-                "this instance already serves its maximum number of requests",
+                "as many requests are open as this instance may serve at once",
                 retry_after_seconds=NO_THREAD_RETRY_SECONDS,
             )
         permit.draw(terms.request_id, terms.tokens)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/response_body.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/response_body.py
@@ -17,7 +17,7 @@
     while data := response.read1(_READ_BYTES):
         body += data
         if len(body) > MAX_BODY_BYTES:
-            raise HTTPException("response body exceeds the size limit")
+            raise HTTPException("the answer is too large")
     finish_response(response)
     return bytes(body)
 
@@ -29,5 +29,5 @@
     itself; until the response is closed, its connection accepts no further request.
     """
     if response.length:
-        raise HTTPException(f"{response.length} bytes of the body are missing")
+        raise HTTPException(f"{response.length} bytes are missing")
     response.close()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/sender.py
@@ -68,7 +68,7 @@
             return Lost(upstream, repr(error))
         if response is None:
             connection.discard()
-            return Lost(upstream, "only responses to other requests")
+            return Lost(upstream, "answers of other requests")
         backpressure = self._note_backpressure(upstream, response, sent_at)
         if self._dialect.was_not_run(response):
             refused = self._not_run(upstream, connection, response)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/stream_relay.py
@@ -48,7 +48,7 @@
         Raises `HTTPException` at a gap: the upstream did not resume where requested.
         """
         if event.number is None:
-            raise HTTPException("event without an id")
+            raise HTTPException("an event has no number")
         if self.last_event is None or event.number == self.last_event + 1:
             return True
         if event.number <= self.last_event:
@@ -145,7 +145,7 @@
             if response.status >= FIRST_ERROR_STATUS:
                 return self._relay_failure(call, answering)
             if not self._parts.dialect.is_signed(response):
-                raise HTTPException("the response is not signed")
+                raise HTTPException("the answer bears no signature")
             self._relay_events(call, answering, candidate, progress, ticket)
         except (HTTPException, OSError, UpstreamSilent, ValueError) as error:
             answering.connection.discard()
@@ -235,4 +235,4 @@
 
 
 def _time_limit_refusal() -> Refusal:
-    return Refusal(504, "time_limit", "no response within the time limit", run=RunState.UNKNOWN)
+    return Refusal(504, "time_limit", "no answer within the time limit", run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/throttle_wait.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/throttle_wait.py
@@ -56,7 +56,7 @@
         return final_refusal(
             call,
             "upstream_rate_limited" if limited else "upstream_rejects",
-            f"{','.join(throttled)} accept the request in {wait:.2f} s, "
+            f"{','.join(throttled)} would take it in {wait:.2f} s, "
             f"{max_wait_seconds:.2f} s are left",
             max(MIN_RETRY_SECONDS, wait),
         )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/watch.py
@@ -50,7 +50,7 @@
         while True:
             now = time.monotonic()
             if now >= self.deadline:
-                raise TimeLimitReached("the deadline has passed")
+                raise TimeLimitReached("no time is left")
             if now >= silent_at:
                 raise UpstreamSilent(f"no byte for {self.silence_seconds} s")
             wait = min(self.deadline, silent_at) - now
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/ingress_server.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/ingress_server.py
@@ -99,7 +99,7 @@
             raise MaxSizeExceeded
         body = self.req.rfile.read(length) if length else b""
         if len(body) != length:
-            raise EOFError("the body is shorter than its Content-Length")
+            raise EOFError("the body ended before its length")
         return body
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/strict_chunks.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/strict_chunks.py
@@ -23,7 +23,7 @@
             raise MaxSizeExceeded
         body += _read_exactly(stream, size)
         if stream.read(len(_CRLF)) != _CRLF:
-            raise ValueError("a chunk does not end after its size")
+            raise ValueError("a chunk does not end where its size says")
     while _read_line(stream):
         pass
     return bytes(body)
@@ -39,7 +39,7 @@
 def _read_line(stream: Any) -> bytes:
     line: bytes = stream.readline(_MAX_LINE_BYTES)
     if not line.endswith(_CRLF):
-        raise ValueError("a line of a chunked body is too long or incomplete")
+        raise ValueError("a line of a chunked body has no end")
     return line[: -len(_CRLF)]
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/strict_headers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/strict_headers.py
@@ -64,7 +64,7 @@
     length = headers.get(_CONTENT_LENGTH)
     encoding = headers.get(_TRANSFER_ENCODING)
     if length is not None and encoding is not None:
-        raise ValueError("both Content-Length and Transfer-Encoding are present")
+        raise ValueError("both Content-Length and Transfer-Encoding")
     if length is not None and not _DIGITS.fullmatch(length):
         raise ValueError("Content-Length is not a number")
     if encoding is not None and encoding.lower() != b"chunked":
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/request_permit.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/request_permit.py
@@ -22,10 +22,8 @@
     if workspace is not None or route.public:
         return workspace
     if digest is None:
-        raise Refusal(401, "key_missing", "an API key is required")
-    raise Refusal(
-        401, "key_unknown", f"the API key is not in configuration version {table.version}"
-    )
+        raise Refusal(401, "key_missing", "a key is needed")
+    raise Refusal(401, "key_unknown", f"no key of version {table.version}")
 
 
 class Permit:
@@ -91,6 +89,6 @@
     return Refusal(
         429,
         "limit_reached",
-        f"workspace {workspace.name} has reached its limit",
+        f"{workspace.name} has used its limit",
         retry_after_seconds=reached.retry_after_seconds,
     )
