--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/digest_news.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/digest_filter.py
@@ -6,10 +6,10 @@
 
 # Shorter than the time after which the planner takes an engine for quiet.
 REFRESH_SECONDS = 4.0
-LOAD_PARTS = 8
+LOAD_STEPS_PER_BATCH = 8
 
 
-class DigestNews:
+class DigestFilter:
     """Compares a digest with the last one told about the same engine.
 
     A digest for every poll would cost each instance some 280 bytes for every
@@ -20,24 +20,24 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._told: Digest | None = None
-        self._told_at = float("-inf")
+        self._published: Digest | None = None
+        self._published_at = float("-inf")
 
-    def take(self, digest: Digest) -> bool:
+    def admit(self, digest: Digest) -> bool:
         """Return whether ``digest`` is to be told; if so it counts as told."""
         now = self._clock()
-        if not self._is_news(digest) and now - self._told_at < REFRESH_SECONDS:
+        if not self._is_significant(digest) and now - self._published_at < REFRESH_SECONDS:
             return False
-        self._told = digest
-        self._told_at = now
+        self._published = digest
+        self._published_at = now
         return True
 
-    def _is_news(self, digest: Digest) -> bool:
-        told = self._told
-        if told is None or _without_load(told) != _without_load(digest):
+    def _is_significant(self, digest: Digest) -> bool:
+        published = self._published
+        if published is None or _without_load(published) != _without_load(digest):
             return True
-        moved = abs(_load(digest) - _load(told))
-        return moved * LOAD_PARTS >= max(1, digest.slots)
+        moved = abs(_load(digest) - _load(published))
+        return moved * LOAD_STEPS_PER_BATCH >= max(1, digest.slots)
 
 
 def _without_load(digest: Digest) -> Digest:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
@@ -17,7 +17,7 @@
 from redwingscale_daemon._internal.placement import choice
 from redwingscale_daemon._internal.placement.backoff import Backoff
 from redwingscale_daemon._internal.placement.choice import Situation
-from redwingscale_daemon._internal.placement.digest_news import DigestNews
+from redwingscale_daemon._internal.placement.digest_filter import DigestFilter
 from redwingscale_daemon._internal.placement.open_order import Outcome
 from redwingscale_daemon._internal.placement.order_sender import OrderSender
 from redwingscale_daemon._internal.placement.owner_parts import OwnerParts
@@ -44,7 +44,7 @@
         self._retirements = Retirements(engine, parts.acks, parts.clock)
         self._replacements = Replacements(parts.directory)
         self._backoff = Backoff(parts.clock)
-        self._news = DigestNews(parts.clock)
+        self._digest_filter = DigestFilter(parts.clock)
         self._failed_polls = 0
         self._blocked_since: float | None = None
 
@@ -119,7 +119,7 @@
         aside = digest._replace(fence=grant.fence, set_aside=True)
         # Told through the news as well: the first sound report after it differs from
         # it, so the engine is back at once and not only with the next refresh.
-        self._news.take(aside)
+        self._digest_filter.admit(aside)
         self._parts.gossip.publish(TOPIC, self._engine, aside)
 
     def _publish(self, grant: Grant, report: Report) -> None:
@@ -135,7 +135,7 @@
             retiring=self._retirements.units,
             retirement=self._retirements.number,
         )
-        if self._news.take(digest):
+        if self._digest_filter.admit(digest):
             self._parts.gossip.publish(TOPIC, self._engine, digest)
 
     def _order(self, engine: EngineMember, grant: Grant, report: Report, polled_at: float) -> bool:
--- a/packages/redwingscale-daemon/tests/unit/test_digest_news.py
+++ b/packages/redwingscale-daemon/tests/unit/test_digest_filter.py
@@ -2,7 +2,7 @@
 
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
 from redwingscale_daemon._internal.models.report import Digest, ResidentUnit
-from redwingscale_daemon._internal.placement.digest_news import REFRESH_SECONDS, DigestNews
+from redwingscale_daemon._internal.placement.digest_filter import REFRESH_SECONDS, DigestFilter
 from redwingscale_daemon._internal.placement.plan import Plan
 from redwingscale_daemon._internal.placement.plan_follower import PlanFollower
 from redwingscale_standins.histories.clock import FakeClock
@@ -12,20 +12,20 @@
 
 def test_what_decides_is_told_at_once_and_the_rest_at_the_refresh():
     clock = FakeClock()
-    news = DigestNews(clock.read)
-
-    told = [
-        news.take(DIGEST),
-        news.take(DIGEST),
-        news.take(DIGEST._replace(running=5)),
-        news.take(DIGEST._replace(running=6)),
-        news.take(DIGEST._replace(running=6, leaving=True)),
-        news.take(DIGEST._replace(running=6, leaving=True)),
+    digest_filter = DigestFilter(clock.read)
+
+    admitted = [
+        digest_filter.admit(DIGEST),
+        digest_filter.admit(DIGEST),
+        digest_filter.admit(DIGEST._replace(running=5)),
+        digest_filter.admit(DIGEST._replace(running=6)),
+        digest_filter.admit(DIGEST._replace(running=6, leaving=True)),
+        digest_filter.admit(DIGEST._replace(running=6, leaving=True)),
     ]
     clock.advance(REFRESH_SECONDS)
 
-    assert told == [True, False, False, True, True, False]
-    assert news.take(DIGEST._replace(running=6, leaving=True))
+    assert admitted == [True, False, False, True, True, False]
+    assert digest_filter.admit(DIGEST._replace(running=6, leaving=True))
 
 
 class CountingStore:
