--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/sightings.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/observations.py
@@ -8,13 +8,13 @@
 TAKEOVER_MARGIN_SECONDS = 1.0
 
 
-class _Sighting(NamedTuple):
+class _Observation(NamedTuple):
     version: int
     write_id: str
     seen_at: float
 
 
-class Sightings:
+class RowObservations:
     """Remembers when each row was first seen as it is.
 
     A holder counts its lease from before it sent a renewal, a reader from when
@@ -25,13 +25,13 @@
     def __init__(self, lease_seconds: float, clock: Clock) -> None:
         self._wait_seconds = lease_seconds + TAKEOVER_MARGIN_SECONDS
         self._clock = clock
-        self._sightings_by_key: dict[str, _Sighting] = {}
+        self._observations_by_key: dict[str, _Observation] = {}
 
-    def has_stopped(self, key: str, row: Row) -> bool:
+    def has_expired(self, key: str, row: Row) -> bool:
         """Return whether ``row`` has stood still for longer than a lease."""
         now = self._clock()
-        seen = self._sightings_by_key.get(key)
+        seen = self._observations_by_key.get(key)
         if seen is None or (seen.version, seen.write_id) != (row.version, row.write_id):
-            self._sightings_by_key[key] = _Sighting(row.version, row.write_id, now)
+            self._observations_by_key[key] = _Observation(row.version, row.write_id, now)
             return False
         return now - seen.seen_at > self._wait_seconds
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/ownership.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/ownership.py
@@ -7,8 +7,8 @@
 from redwingscale_daemon._internal.exceptions import PlatformError
 from redwingscale_daemon._internal.leases.clock import Clock, lease_clock
 from redwingscale_daemon._internal.leases.grant import Grant
+from redwingscale_daemon._internal.leases.observations import RowObservations
 from redwingscale_daemon._internal.leases.session import Session, session_key
-from redwingscale_daemon._internal.leases.sightings import Sightings
 from redwingscale_daemon._internal.store.row import (
     ABSENT,
     Check,
@@ -44,7 +44,7 @@
         self._table = table
         self._session = session
         self._instance = instance
-        self._sightings = Sightings(lease_seconds, clock)
+        self._observations = RowObservations(lease_seconds, clock)
         self._held_by_name: dict[str, _Held] = {}
 
     def rows(self) -> dict[str, dict[str, object]]:
@@ -132,14 +132,14 @@
         # Whoever adopts a session waits until the one before has lapsed, so another
         # boot in the row tells that this holder's lease is over.
         is_current = session is not None and session.value["boot"] == boot
-        if is_current and not self._has_stopped(holder, session):
+        if is_current and not self._has_expired(holder, session):
             return None
         # The check on the session row makes a holder that renews right now win.
         version = session.version if session else ABSENT
         return self._write(name, row, [Check(session_key(holder), version)], epoch)
 
-    def _has_stopped(self, holder: str, session: Row | None) -> bool:
-        return session is None or self._sightings.has_stopped(session_key(holder), session)
+    def _has_expired(self, holder: str, session: Row | None) -> bool:
+        return session is None or self._observations.has_expired(session_key(holder), session)
 
     def _write(self, name: str, row: Row | None, checks: list[Check], epoch: int) -> Grant | None:
         key = OWNER_PREFIX + name
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
@@ -7,7 +7,7 @@
 
 from redwingscale_daemon._internal.exceptions import PlatformError
 from redwingscale_daemon._internal.leases.clock import Clock, lease_clock
-from redwingscale_daemon._internal.leases.sightings import Sightings
+from redwingscale_daemon._internal.leases.observations import RowObservations
 from redwingscale_daemon._internal.store.row import ABSENT, Committed, Row
 from redwingscale_daemon._internal.store.table import Table
 
@@ -50,7 +50,7 @@
         self._boot = boot
         self._lease_seconds = lease_seconds
         self._clock = clock
-        self._sightings = Sightings(lease_seconds, clock)
+        self._observations = RowObservations(lease_seconds, clock)
         self._version: int | None = None
         self._lease = _Lease(0, -math.inf)
         self._ended = False
@@ -137,7 +137,7 @@
         """
         row = self._table.read([self._key])[self._key]
         if row is not None and row.value["boot"] not in (ENDED, self._boot):
-            if not self._sightings.has_stopped(self._key, row):
+            if not self._observations.has_expired(self._key, row):
                 return False
             log_event("session_adopted", key=self._key, boot=row.value["boot"])
         self._version = row.version if row else ABSENT
