--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/ownership.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/ownership.py
@@ -22,7 +22,7 @@
 OWNER_PREFIX = "owners/"
 
 
-class _Held(NamedTuple):
+class _Owned(NamedTuple):
     """A grant with the row version and the session epoch that it was taken in."""
 
     grant: Grant
@@ -45,7 +45,7 @@
         self._session = session
         self._instance = instance
         self._observations = RowObservations(lease_seconds, clock)
-        self._held_by_name: dict[str, _Held] = {}
+        self._owned_by_name: dict[str, _Owned] = {}
 
     def rows(self) -> dict[str, dict[str, object]]:
         """Return holder, boot and fence of everything owned; raise `PlatformUnavailable`."""
@@ -54,30 +54,30 @@
 
     def grant_of(self, name: str) -> Grant | None:
         """Return the grant of ``name`` if this instance may act on it now."""
-        held = self._held_by_name.get(name)
-        if held is None or self.remaining_seconds(held.grant) <= 0:
+        owned = self._owned_by_name.get(name)
+        if owned is None or self.remaining_seconds(owned.grant) <= 0:
             return None
-        return held.grant
+        return owned.grant
 
-    def last(self, name: str) -> Grant | None:
-        """Return the last grant of ``name``, lapsed or not, unless another is known to hold it.
+    def last_grant(self, name: str) -> Grant | None:
+        """Return the last_grant grant of ``name``, lapsed or not, unless another is known to hold it.
 
         Good for reading and publishing, and for orders that the receiver fences.
         """
-        held = self._held_by_name.get(name)
-        return held.grant if held else None
+        owned = self._owned_by_name.get(name)
+        return owned.grant if owned else None
 
     def remaining_seconds(self, grant: Grant) -> float:
         """Return for how long nobody else can hold what ``grant`` gives; 0 when it lapsed."""
-        held = self._held_by_name.get(grant.name)
-        if held is None or held.grant != grant:
+        owned = self._owned_by_name.get(grant.name)
+        if owned is None or owned.grant != grant:
             return 0.0
-        return self._session.remaining_seconds(held.epoch)
+        return self._session.remaining_seconds(owned.epoch)
 
     def check(self, grant: Grant) -> Check:
         """Return the condition that ``grant`` is still the newest of its name."""
-        held = self._held_by_name.get(grant.name)
-        version = held.version if held is not None and held.grant == grant else ABSENT
+        owned = self._owned_by_name.get(grant.name)
+        version = owned.version if owned is not None and owned.grant == grant else ABSENT
         return Check(OWNER_PREFIX + grant.name, version)
 
     def try_acquire(self, name: str) -> Grant | None:
@@ -87,25 +87,25 @@
         return self._acquire_logged(name)
 
     def raise_fence(self, name: str) -> Grant | None:
-        """Replace a held grant of ``name`` by one with a higher fence; None when not held."""
+        """Replace a owned grant of ``name`` by one with a higher fence; None when not owned."""
         if self.grant_of(name) is None:
             return None
         return self._acquire_logged(name)
 
     def release(self, name: str) -> None:
         """Give ``name`` back, so that a successor need not wait for the lease."""
-        held = self._held_by_name.pop(name, None)
-        if held is None:
+        owned = self._owned_by_name.pop(name, None)
+        if owned is None:
             return
-        value = {"holder": "", "boot": 0, "fence": held.grant.fence}
+        value = {"holder": "", "boot": 0, "fence": owned.grant.fence}
         try:
-            self._table.put_if(OWNER_PREFIX + name, value, held.version)
+            self._table.put_if(OWNER_PREFIX + name, value, owned.version)
         except PlatformError as error:
             log_event("ownership_not_released", level="WARNING", name=name, error=error)
 
     def end(self) -> None:
         """Give everything back at the end of the instance."""
-        for name in list(self._held_by_name):
+        for name in list(self._owned_by_name):
             self.release(name)
         self._session.end()
 
@@ -127,7 +127,7 @@
         holder, boot = row.value["holder"], row.value["boot"]
         if holder == self._instance and boot == self._session.boot:
             return self._write(name, row, [], epoch)
-        self._held_by_name.pop(name, None)
+        self._owned_by_name.pop(name, None)
         session = self._table.read([session_key(holder)])[session_key(holder)]
         # Whoever adopts a session waits until the one before has lapsed, so another
         # boot in the row tells that this holder's lease is over.
@@ -154,6 +154,6 @@
         if not isinstance(outcome, Committed):
             return None
         grant = Grant(name, self._instance, self._session.boot, fence)
-        self._held_by_name[name] = _Held(grant, outcome.rows[key].version, epoch)
+        self._owned_by_name[name] = _Owned(grant, outcome.rows[key].version, epoch)
         log_event("ownership_taken", name=name, fence=fence)
         return self.grant_of(name)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
@@ -12,7 +12,7 @@
 from redwingscale_daemon._internal.store.table import Table
 
 SESSION_PREFIX = "sessions/"
-ENDED = 0
+ENDED_BOOT = 0
 
 
 def session_key(instance: str) -> str:
@@ -103,7 +103,7 @@
         if self._version is None:
             return
         try:
-            self._table.put_if(self._key, {"boot": ENDED}, self._version)
+            self._table.put_if(self._key, {"boot": ENDED_BOOT}, self._version)
         except PlatformError as error:
             log_event("session_not_ended", level="WARNING", error=error)
 
@@ -136,7 +136,7 @@
         its row has to stand still for a lease, as with any other takeover.
         """
         row = self._table.read([self._key])[self._key]
-        if row is not None and row.value["boot"] not in (ENDED, self._boot):
+        if row is not None and row.value["boot"] not in (ENDED_BOOT, self._boot):
             if not self._observations.has_expired(self._key, row):
                 return False
             log_event("session_adopted", key=self._key, boot=row.value["boot"])
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owners.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owners.py
@@ -85,7 +85,7 @@
     def _end(self, engine: str) -> None:
         owner, task = self._work_by_engine.pop(engine)
         task.stop()
-        # Not released before the last step has ended: its orders would meet the
+        # Not released before the last_grant step has ended: its orders would meet the
         # successor's.
         owner.close()
         self._ownership.release(engine)
@@ -100,7 +100,7 @@
 
     def _step(self, engine: str, owner: EngineOwner) -> None:
         member = self._members.by_id.get(engine)
-        grant = self._ownership.try_acquire(engine) or self._ownership.last(engine)
+        grant = self._ownership.try_acquire(engine) or self._ownership.last_grant(engine)
         if grant is not None and isinstance(member, EngineMember):
             owner.step(member, grant)
 
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/owner.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/owner.py
@@ -60,7 +60,7 @@
 
     def step(self, engine: EngineMember) -> None:
         """Do what the daemon's thread for this engine does once."""
-        grant = self.ownership.try_acquire(self._engine) or self.ownership.last(self._engine)
+        grant = self.ownership.try_acquire(self._engine) or self.ownership.last_grant(self._engine)
         if grant is not None:
             self._owner.step(engine, grant)
 
