--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/backoff.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/backoff.py
@@ -4,8 +4,8 @@
 
 from redwingscale_daemon._internal.leases.clock import Clock
 
-FIRST_SECONDS = 1.0
-LONGEST_SECONDS = 30.0
+INITIAL_SECONDS = 1.0
+MAX_SECONDS = 30.0
 
 
 class _Wait(NamedTuple):
@@ -26,7 +26,7 @@
             self._waits_by_unit.pop(unit, None)
             return
         last = self._waits_by_unit.get(unit)
-        seconds = min(LONGEST_SECONDS, 2 * last.seconds) if last else FIRST_SECONDS
+        seconds = min(MAX_SECONDS, 2 * last.seconds) if last else INITIAL_SECONDS
         self._waits_by_unit[unit] = _Wait(self._clock() + seconds, seconds)
 
     def is_over(self, unit: str) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/demand.py
@@ -1,4 +1,4 @@
-"""Demand for models: counted here, told to all, summed by the planner."""
+"""Demand for models: counted here, published to all, summed by the planner."""
 
 import math
 import threading
@@ -16,17 +16,17 @@
 TOPIC = "demand"
 KEY = "table"
 HALF_LIFE_SECONDS = 60.0
-LEAST_RATE = 1 / 64
-"""Requests a second that exponent 0 stands for; slower demand is not told."""
-STEPS_A_DOUBLING = 2
-MOST_MODELS_TOLD = 32
-MOST_REPORTERS = 24
-TELL_SECONDS = 10.0
-TELL_SECONDS_OF_MANY = 30.0
+MIN_REQUESTS_PER_SECOND = 1 / 64
+"""Requests a second that exponent 0 stands for; slower demand is not published."""
+STEPS_PER_DOUBLING = 2
+MAX_PUBLISHED_MODELS = 32
+MAX_REPORTERS = 24
+PUBLISH_SECONDS = 10.0
+PUBLISH_SECONDS_OF_MANY = 30.0
 
 
 class DemandTable(NamedTuple):
-    """``exponents`` by model number: a rate of ``LEAST_RATE * 2 ** (exponent / 2)``."""
+    """``exponents`` by model number: a rate of ``MIN_REQUESTS_PER_SECOND * 2 ** (exponent / 2)``."""
 
     exponents: dict[int, int]
 
@@ -34,7 +34,7 @@
 class DemandTracker:
     """Counts arrivals at this instance and tells the others of the largest rates.
 
-    What this costs is bounded: only `MOST_REPORTERS` instances tell, at most 32
+    What this costs is bounded: only `MAX_REPORTERS` instances tell, at most 32
     models of 860, in half powers of two, not more often than every 30 s; the planner
     scales the sum up, as the balancer spreads callers over all instances alike.
     """
@@ -48,9 +48,9 @@
         self._instances = instances
         self._arrivals: Counter[str] = Counter()
         self._rates: dict[str, float] = {}
-        self._told: dict[int, int] = {}
+        self._published: dict[int, int] = {}
         self._updated_at: float | None = None
-        self._told_at = float("-inf")
+        self._published_at = float("-inf")
 
     def arrived(self, model: str) -> None:
         """Count one request for ``model``, refused ones too: they are demand."""
@@ -61,14 +61,14 @@
         """Bring the rates up to ``now`` and tell them if they have changed enough."""
         self._update(now)
         instances = {*self._instances(), self._instance}
-        reporters = rendezvous_order(TOPIC, instances)[:MOST_REPORTERS]
-        many = len(instances) > MOST_REPORTERS
-        pause = TELL_SECONDS_OF_MANY if many else TELL_SECONDS
-        if self._instance not in reporters or now - self._told_at < pause:
+        reporters = rendezvous_order(TOPIC, instances)[:MAX_REPORTERS]
+        is_large = len(instances) > MAX_REPORTERS
+        interval = PUBLISH_SECONDS_OF_MANY if is_large else PUBLISH_SECONDS
+        if self._instance not in reporters or now - self._published_at < interval:
             return
         table = self._table()
-        if table != self._told:
-            self._told, self._told_at = table, now
+        if table != self._published:
+            self._published, self._published_at = table, now
             self._gossip.publish(TOPIC, KEY, DemandTable(table))
 
     def _update(self, now: float) -> None:
@@ -80,15 +80,15 @@
             return
         kept = 0.5 ** (elapsed / HALF_LIFE_SECONDS)
         for model in self._rates.keys() | arrivals.keys():
-            fresh = arrivals[model] / elapsed
-            self._rates[model] = kept * self._rates.get(model, 0.0) + (1 - kept) * fresh
+            recent = arrivals[model] / elapsed
+            self._rates[model] = kept * self._rates.get(model, 0.0) + (1 - kept) * recent
 
     def _table(self) -> dict[int, int]:
         top = sorted(self._rates.items(), key=lambda item: (-item[1], item[0]))
         table = {}
-        for model, rate in top[:MOST_MODELS_TOLD]:
+        for model, rate in top[:MAX_PUBLISHED_MODELS]:
             number = model_number(model)
-            exponent = _exponent(rate, self._told.get(number))
+            exponent = _exponent(rate, self._published.get(number))
             if exponent is not None:
                 table[number] = exponent
         return table
@@ -106,12 +106,12 @@
         """Return requests a second; instances that are gone or tell nothing are scaled for."""
         live = set(self._instances())
         tables = [t for origin, t in list(self._tables_by_origin.items()) if origin in live]
-        reporters = min(len(live), MOST_REPORTERS)
+        reporters = min(len(live), MAX_REPORTERS)
         scale = len(live) / reporters if reporters else 1.0
         totals: dict[int, float] = {}
         for table in tables:
             for number, exponent in table.exponents.items():
-                rate = scale * LEAST_RATE * 2.0 ** (exponent / STEPS_A_DOUBLING)
+                rate = scale * MIN_REQUESTS_PER_SECOND * 2.0 ** (exponent / STEPS_PER_DOUBLING)
                 totals[number] = totals.get(number, 0.0) + rate
         return totals
 
@@ -120,11 +120,11 @@
         self._tables_by_origin[entry.origin] = table
 
 
-def _exponent(rate: float, told: int | None) -> int | None:
-    """Return the half power of two nearest to ``rate``; the one told unless it is 30% off."""
-    if rate < LEAST_RATE / 2:
+def _exponent(rate: float, published: int | None) -> int | None:
+    """Return the half power of two nearest to ``rate``; the one published unless it is 30% off."""
+    if rate < MIN_REQUESTS_PER_SECOND / 2:
         return None
-    exact = STEPS_A_DOUBLING * math.log2(rate / LEAST_RATE)
-    if told is not None and abs(exact - told) < 0.75:
-        return told
+    exact = STEPS_PER_DOUBLING * math.log2(rate / MIN_REQUESTS_PER_SECOND)
+    if published is not None and abs(exact - published) < 0.75:
+        return published
     return max(0, round(exact))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_watch.py
@@ -6,7 +6,7 @@
 from redwingscale_daemon._internal.placement.engine_room import EngineRoom, Standing
 from redwingscale_daemon._internal.upstreams.directory import EngineView
 
-QUIET_SECONDS = 10.0
+SILENT_SECONDS = 10.0
 ENGINE_GRACE_SECONDS = 30.0
 DOMAIN_GRACE_SECONDS = 900.0
 RESUME_GAP_SECONDS = 10.0
@@ -50,7 +50,7 @@
     def _is_heard(self, view: EngineView, now: float) -> bool:
         """Return whether the engine told something sound lately."""
         sound = view.digest is not None and not view.digest.set_aside
-        return sound and self._quiet(view, now) <= QUIET_SECONDS
+        return sound and self._quiet(view, now) <= SILENT_SECONDS
 
     def _quiet(self, view: EngineView, now: float) -> float:
         return now - max(view.seen_at, self._listening_since)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/growth.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/growth.py
@@ -10,13 +10,13 @@
 
 HORIZON_SECONDS = 1800.0
 REQUESTS_PER_MOVE = 10.0
-MOST_STEPS = 4
+MAX_STEPS = 4
 HOT_ENGINES = 4
 HOT_GROUPS = 3
-COOL_ENGINES = 6
+COLD_ENGINES = 6
 COLD_GROUPS = 4
-REFUGES_TRIED = 32
-MOST_CANDIDATES = 200
+MAX_DESTINATIONS_TRIED = 32
+MAX_CANDIDATES = 200
 
 
 class Step(NamedTuple):
@@ -55,7 +55,7 @@
     """Change ``layout`` step by step while a step is worth its moves; return the steps."""
     balance = Balance(layout, load_by_key)
     taken: list[Step] = []
-    while len(taken) < MOST_STEPS:
+    while len(taken) < MAX_STEPS:
         step = _best_step(layout, groups_by_key, balance, worth)
         if step is None:
             break
@@ -69,7 +69,7 @@
     layout: Layout, groups_by_key: Mapping[str, Group], balance: Balance, worth: Worth
 ) -> Step | None:
     best, best_surplus = None, 0.0
-    for step in islice(_candidates(layout, groups_by_key, balance), MOST_CANDIDATES):
+    for step in islice(_candidates(layout, groups_by_key, balance), MAX_CANDIDATES):
         surplus = worth.surplus(balance.gain(step.changes), step.moves)
         if surplus > best_surplus:
             best, best_surplus = step, surplus
@@ -92,7 +92,7 @@
     rooms = layout.rooms_by_engine
     order = sorted((e for e in rooms if rooms[e].is_open), key=balance.utilisation)
     hot = [e for e in reversed(order[-HOT_ENGINES:]) if balance.utilisation(e) > KNEE]
-    for source, target in product(hot, order[:COOL_ENGINES]):
+    for source, target in product(hot, order[:COLD_ENGINES]):
         if source == target:
             continue
         for key in _hottest(balance, layout, source):
@@ -152,7 +152,7 @@
     """Yield the step in which ``cold`` moves to a third engine to let ``group`` in."""
     refuges = (
         e
-        for e in order[:REFUGES_TRIED]
+        for e in order[:MAX_DESTINATIONS_TRIED]
         if layout.accepts(e, cold)
         and layout.free_bytes(e) >= cold.size_bytes
         and _may_move(layout, cold, target, e)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/hand_over.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/hand_over.py
@@ -7,7 +7,7 @@
 from redwingscale_daemon._internal.placement.group import Group
 from redwingscale_daemon._internal.placement.plan import PlannedUnit
 
-ENOUGH_SUBSTITUTES = 2
+REQUIRED_SUBSTITUTES = 2
 
 Target = Mapping[str, Mapping[str, Group]]
 
@@ -77,7 +77,7 @@
     def _may_go(self, room: EngineRoom, group: Group) -> bool:
         counts = group.key in self._ready_by_engine[room.engine]
         others = self._copies[group.model] - counts
-        enough = min(ENOUGH_SUBSTITUTES, self._wanted[group.model])
+        enough = min(REQUIRED_SUBSTITUTES, self._wanted[group.model])
         replaced = 0 < enough <= self._staying[group.model]
         if not replaced and not (others > 0 and self._is_tight(room)):
             return False
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/load_gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/load_gate.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.placement.group import Group
 from redwingscale_daemon._internal.placement.plan import PlannedUnit
 
-PATIENCE_SECONDS = 120.0
+LOAD_TIMEOUT_SECONDS = 120.0
 
 
 class Wanted(NamedTuple):
@@ -80,7 +80,7 @@
             room = rooms_by_engine[engine]
             for unit in units.keys() - _ready(room) if room.is_open else ():
                 self._since[engine, unit] = since.get((engine, unit), now)
-        return sum(now - begun < PATIENCE_SECONDS for begun in self._since.values())
+        return sum(now - begun < LOAD_TIMEOUT_SECONDS for begun in self._since.values())
 
     def _refill(self, store: WeightStore, now: float) -> None:
         elapsed = 0.0 if self._refilled_at is None else now - self._refilled_at
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/make_room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/make_room.py
@@ -6,8 +6,8 @@
 from redwingscale_daemon._internal.placement.group import Group
 from redwingscale_daemon._internal.placement.layout import Layout
 
-ENGINES_TRIED = 64
-MOST_CHANGES = 6
+MAX_ENGINES_TRIED = 64
+MAX_DISPLACEMENTS = 6
 
 
 class Displacement(NamedTuple):
@@ -29,7 +29,7 @@
     A group gives a replica up only if it keeps at least ``replica`` others, so
     a second replica never costs another model its second, nor a first its first.
     """
-    tried = sorted(engines, key=lambda e: (-layout.free_bytes(e), e))[:ENGINES_TRIED]
+    tried = sorted(engines, key=lambda e: (-layout.free_bytes(e), e))[:MAX_ENGINES_TRIED]
     plans = [(e, _displacements(layout, group, e, replica, load_by_key)) for e in tried]
     found = [(engine, plan) for engine, plan in plans if plan is not None]
     if not found:
@@ -53,7 +53,7 @@
     plan: list[Displacement] = []
     taken: dict[str, int] = {}
     for displaced in _displaceable(layout, engine, replica, load_by_key):
-        if needed <= 0 or len(plan) == MOST_CHANGES:
+        if needed <= 0 or len(plan) == MAX_DISPLACEMENTS:
             break
         to = (
             ""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/move_history.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/move_history.py
@@ -10,8 +10,8 @@
 from redwingscale_daemon._internal.store.table import Table
 
 MOVES_PREFIX = "moves/"
-MOST_KEPT_PER_ENGINE = 50
-MOST_WAITING = 1000
+MAX_MOVES_PER_ENGINE = 50
+MAX_UNWRITTEN_MOVES = 1000
 
 
 class Move(NamedTuple):
@@ -34,22 +34,22 @@
     def __init__(self, table: Table) -> None:
         self._lock = threading.Lock()
         self._table = table
-        self._waiting: list[Move] = []
+        self._unwritten: list[Move] = []
 
     def note(self, upstream: str, order: Order, outcome: str) -> None:
         """Keep how ``order`` ended; never waits for the platform."""
         at = datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
         action = "load" if order.load else "unload"
         with self._lock:
-            self._waiting.append(Move(at, upstream, action, order.unit, outcome))
-            del self._waiting[:-MOST_WAITING]
+            self._unwritten.append(Move(at, upstream, action, order.unit, outcome))
+            del self._unwritten[:-MAX_UNWRITTEN_MOVES]
 
     def flush(self) -> None:
         """Write what waits; raise `PlatformError`, and keep it for the next time."""
         with self._lock:
-            waiting, self._waiting = self._waiting, []
+            unwritten, self._unwritten = self._unwritten, []
         moves_by_upstream: dict[str, list[Move]] = defaultdict(list)
-        for move in waiting:
+        for move in unwritten:
             moves_by_upstream[move.upstream].append(move)
         try:
             while moves_by_upstream:
@@ -59,7 +59,7 @@
         finally:
             left = [move for moves in moves_by_upstream.values() for move in moves]
             with self._lock:
-                self._waiting = left + self._waiting
+                self._unwritten = left + self._unwritten
 
     def recent(self) -> list[Move]:
         """Return the moves that are kept, the newest first; raise `PlatformUnavailable`."""
@@ -73,5 +73,5 @@
         # A former owner may write its last moves at the same time: read again then.
         while not isinstance(outcome, Committed):
             row = self._table.read([key])[key]
-            kept = [*(row.value if row else []), *moves][-MOST_KEPT_PER_ENGINE:]
+            kept = [*(row.value if row else []), *moves][-MAX_MOVES_PER_ENGINE:]
             outcome = self._table.put_if(key, kept, row.version if row else ABSENT)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/order_sender.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/order_sender.py
@@ -17,7 +17,7 @@
 
 # The least that must be left of a lease for an order to an engine without fencing;
 # the call as a whole is bounded by what is left, so it ends inside the lease.
-ORDER_SECONDS = 0.25
+MIN_LEASE_SECONDS = 0.25
 
 
 class OrderSender:
@@ -117,6 +117,6 @@
 
     def _remaining(self, grant: Grant) -> float:
         remaining = self._parts.ownership.remaining_seconds(grant)
-        if remaining < ORDER_SECONDS:
+        if remaining < MIN_LEASE_SECONDS:
             raise LeaseLost(f"{remaining:.3f} s left of the lease of {grant.name}")
         return remaining
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
@@ -26,11 +26,11 @@
 from redwingscale_daemon._internal.placement.retirements import Retirements
 from redwingscale_daemon._internal.upstreams.directory import TOPIC
 
-SILENT_POLLS = 3
+MAX_FAILED_POLLS = 3
 # An order that the engine's reports do not show for so long is lost, or late: a higher
 # fence makes sure that it is dead.
-UNSEEN_SECONDS = 2.0
-REPLACEMENT_PATIENCE_SECONDS = 30.0
+UNREPORTED_ORDER_SECONDS = 2.0
+REPLACEMENT_TIMEOUT_SECONDS = 30.0
 
 
 class EngineOwner:
@@ -103,7 +103,7 @@
         except UpstreamError as error:
             log_event("report_failed", level="WARNING", upstream=engine.id, error=error)
             self._failed_polls += 1
-            if self._failed_polls >= SILENT_POLLS:
+            if self._failed_polls >= MAX_FAILED_POLLS:
                 self._set_aside(grant)
             return None
         self._failed_polls = 0
@@ -191,7 +191,7 @@
     def _has_unseen(self, report: Report) -> bool:
         now = self._parts.clock()
         return any(
-            o.order.order_id not in report.orders and now - o.sent_by > UNSEEN_SECONDS
+            o.order.order_id not in report.orders and now - o.sent_by > UNREPORTED_ORDER_SECONDS
             for o in self._sender.ledger.open_orders()
         )
 
@@ -214,7 +214,7 @@
             return replaced | situation.ledger.unloading()
         now = self._parts.clock()
         self._blocked_since = now if self._blocked_since is None else self._blocked_since
-        if now - self._blocked_since > REPLACEMENT_PATIENCE_SECONDS:
+        if now - self._blocked_since > REPLACEMENT_TIMEOUT_SECONDS:
             # What the plan wants here cannot come before something goes. The last copy
             # of a model that is to move elsewhere stays: a plan that is stuck costs
             # attainment, a listed model that answers nowhere breaks a promise.
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owners.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owners.py
@@ -17,7 +17,7 @@
 
 # Polls in the time of one while an order or a drain is under way: a model's way back
 # takes several reports, one after the other.
-BUSY_POLLS = 4
+BUSY_POLLS_PER_INTERVAL = 4
 
 
 class _Work(NamedTuple):
@@ -92,10 +92,10 @@
 
     def _work(self, engine: str, owner: EngineOwner) -> None:
         self._step(engine, owner)
-        for _ in range(BUSY_POLLS - 1):
+        for _ in range(BUSY_POLLS_PER_INTERVAL - 1):
             if not owner.is_busy or engine not in self._work_by_engine:
                 return
-            time.sleep(self._timing.report_poll / BUSY_POLLS)
+            time.sleep(self._timing.report_poll / BUSY_POLLS_PER_INTERVAL)
             self._step(engine, owner)
 
     def _step(self, engine: str, owner: EngineOwner) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/service_time.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/service_time.py
@@ -1,11 +1,11 @@
 """How long a request keeps a place in an engine's batch, by Little's law."""
 
 DEFAULT_SECONDS = 3.0
-LEAST_SECONDS = 0.05
-MOST_SECONDS = 120.0
-LEAST_RATE = 0.5
-FULL = 0.8
-WEIGHT = 0.1
+MIN_SECONDS = 0.05
+MAX_SECONDS = 120.0
+MIN_REQUESTS_PER_SECOND = 0.5
+MAX_UTILISATION = 0.8
+SMOOTHING_FACTOR = 0.1
 
 
 class ServiceTime:
@@ -20,8 +20,11 @@
         Nearly full engines are left out: what waits or was refused counts as an
         arrival but does not run, and would make requests look short.
         """
-        if requests_per_second < LEAST_RATE or not 0 < running < FULL * slots:
+        if (
+            requests_per_second < MIN_REQUESTS_PER_SECOND
+            or not 0 < running < MAX_UTILISATION * slots
+        ):
             return self.seconds
-        seen = min(max(running / requests_per_second, LEAST_SECONDS), MOST_SECONDS)
-        self.seconds += WEIGHT * (seen - self.seconds)
+        observed = min(max(running / requests_per_second, MIN_SECONDS), MAX_SECONDS)
+        self.seconds += SMOOTHING_FACTOR * (observed - self.seconds)
         return self.seconds
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/swap_room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/swap_room.py
@@ -6,9 +6,9 @@
 from redwingscale_daemon._internal.placement.group import Group
 from redwingscale_daemon._internal.placement.layout import Layout
 
-ENGINES_TRIED = 16
-PARTNERS_TRIED = 64
-MOST_SWAPS = 4
+MAX_ENGINES_TRIED = 16
+MAX_PARTNERS_TRIED = 64
+MAX_SWAPS = 4
 
 
 class Swap(NamedTuple):
@@ -29,13 +29,13 @@
     What is left over on each engine is too small for any model, but together it
     is enough: without this, İzmir's memory holds two models less.
     """
-    tried = sorted(engines, key=lambda e: (-layout.free_bytes(e), e))[:ENGINES_TRIED]
+    tried = sorted(engines, key=lambda e: (-layout.free_bytes(e), e))[:MAX_ENGINES_TRIED]
     return next((e for e in tried if _gather(layout, group, e)), None)
 
 
 def _gather(layout: Layout, group: Group, engine: str) -> bool:
     done: list[Swap] = []
-    while layout.free_bytes(engine) < group.size_bytes and len(done) < MOST_SWAPS:
+    while layout.free_bytes(engine) < group.size_bytes and len(done) < MAX_SWAPS:
         lacking = group.size_bytes - layout.free_bytes(engine)
         swap = max(
             _swaps(layout, group, engine),
@@ -55,7 +55,7 @@
 
 def _swaps(layout: Layout, group: Group, engine: str) -> Iterator[Swap]:
     partners = sorted(layout.rooms_by_engine, key=lambda e: (-layout.free_bytes(e), e))
-    for partner in partners[:PARTNERS_TRIED]:
+    for partner in partners[:MAX_PARTNERS_TRIED]:
         if partner == engine or not layout.rooms_by_engine[partner].is_open:
             continue
         for out in layout.groups_by_engine[engine].values():
--- a/packages/redwingscale-daemon/tests/unit/placement/test_demand.py
+++ b/packages/redwingscale-daemon/tests/unit/placement/test_demand.py
@@ -5,8 +5,8 @@
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.placement.demand import (
     HALF_LIFE_SECONDS,
-    MOST_MODELS_TOLD,
-    MOST_REPORTERS,
+    MAX_PUBLISHED_MODELS,
+    MAX_REPORTERS,
     DemandTotals,
     DemandTracker,
 )
@@ -41,7 +41,7 @@
 def test_few_of_many_instances_tell_and_stand_for_all():
     planner, totals = _run(instances=48, rate=1)
 
-    assert len(planner.entries()) == MOST_REPORTERS
+    assert len(planner.entries()) == MAX_REPORTERS
     assert totals.rates_by_number()[model_number("m0")] == pytest.approx(48.0)
 
 
@@ -49,7 +49,7 @@
     planner, _ = _run(instances=1, rate=1, models=200)
 
     (entry,) = planner.entries()
-    assert len(msgspec.msgpack.decode(entry.payload)[0]) == MOST_MODELS_TOLD
+    assert len(msgspec.msgpack.decode(entry.payload)[0]) == MAX_PUBLISHED_MODELS
     assert len(entry.payload) <= PAYLOAD_LIMIT_BYTES
 
 
