--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
@@ -7,7 +7,7 @@
 
 from redwingscale_daemon._internal.exceptions import PlatformError
 from redwingscale_daemon._internal.leases.clock import Clock, lease_clock
-from redwingscale_daemon._internal.leases.observations import RowObservations
+from redwingscale_daemon._internal.leases.row_observations import RowObservations
 from redwingscale_daemon._internal.store.row import ABSENT, Committed, Row
 from redwingscale_daemon._internal.store.table import Table
 
