--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/assign.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/assign.py
@@ -5,7 +5,7 @@
 
 from redwingscale_common.finding import Finding
 
-from redwingscale_daemon._internal.placement.engine_room import EngineRoom, Standing
+from redwingscale_daemon._internal.placement.engine_room import Availability, EngineRoom
 from redwingscale_daemon._internal.placement.group import Group
 from redwingscale_daemon._internal.placement.layout import Layout
 from redwingscale_daemon._internal.placement.make_room import make_room
@@ -43,7 +43,9 @@
 
 def _is_reachable(layout: Layout, group: Group) -> bool:
     rooms = layout.rooms_by_engine
-    return any(rooms[e].standing is not Standing.CUT for e in layout.replicas(group.key))
+    return any(
+        rooms[e].availability is not Availability.PARTITIONED for e in layout.replicas(group.key)
+    )
 
 
 def _kept(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_room.py
@@ -6,18 +6,18 @@
 from redwingscale_daemon._internal.models.report import ResidentUnit
 
 
-class Standing(Enum):
+class Availability(Enum):
     """What the planner may count on at an engine.
 
     ``OPEN``: heard of, takes more. ``SILENT``: quiet for a short time, perhaps a
-    restart; counts as a replica, takes nothing. ``CUT``: its whole failure domain
+    restart; counts as a replica, takes nothing. ``PARTITIONED``: its whole failure domain
     is quiet; it likely serves its own side, so it keeps what it has, but this
     side needs a replica of its own.
     """
 
     OPEN = "open"
     SILENT = "silent"
-    CUT = "cut"
+    PARTITIONED = "cut"
 
 
 class EngineRoom(NamedTuple):
@@ -27,12 +27,12 @@
     failure_domain: str
     capacity_bytes: int
     slots: int
-    standing: Standing = Standing.OPEN
+    availability: Availability = Availability.OPEN
     residents: tuple[ResidentUnit, ...] = ()
 
     @property
     def is_open(self) -> bool:
-        return self.standing is Standing.OPEN
+        return self.availability is Availability.OPEN
 
     def holds(self, unit: str) -> bool:
         """Return whether ``unit`` takes memory here, ready or not."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_watch.py
@@ -1,9 +1,9 @@
-"""Which engines the planner may count on, and for how long after they went quiet."""
+"""Which engines the planner may count on, and for how long after they went silent_seconds."""
 
 from collections.abc import Mapping
 
 from redwingscale_daemon._internal.models.report import Digest, ResidentUnit
-from redwingscale_daemon._internal.placement.engine_room import EngineRoom, Standing
+from redwingscale_daemon._internal.placement.engine_room import Availability, EngineRoom
 from redwingscale_daemon._internal.upstreams.directory import EngineView
 
 SILENT_SECONDS = 10.0
@@ -12,11 +12,11 @@
 RESUME_GAP_SECONDS = 10.0
 SETTLE_SECONDS = 5.0
 UNKNOWN_CAPACITY = 1 << 62
-"""Of an engine that this planner never heard of: it keeps its part and gets nothing more."""
+"""Of an engine that this planner never reporting_domains of: it keeps its part and gets nothing more."""
 
 
 class EngineWatch:
-    """Counts silence only while this planner could have heard.
+    """Counts silence only while this planner could have reporting_domains.
 
     After an outage of the platform every digest is old, because no owner held
     its lease. A planner that took this for the loss of all engines would place
@@ -35,8 +35,8 @@
             self._listening_since = now
         self._last_step_at = now
         usable = [v for v in views_by_engine.values() if not v.leaving]
-        heard = {v.member.failure_domain for v in usable if self._is_heard(v, now)}
-        rooms = [self._room(view, cache_share, now, heard) for view in usable]
+        reporting_domains = {v.member.failure_domain for v in usable if self._is_reporting(v, now)}
+        rooms = [self._room(view, cache_share, now, reporting_domains) for view in usable]
         return {room.engine: room for room in rooms if room is not None}
 
     def is_settling(self, views_by_engine: Mapping[str, EngineView], now: float) -> bool:
@@ -44,43 +44,43 @@
 
         A first plan made for the few engines that were quickest would fill them up.
         """
-        unheard = any(v.digest is None and not v.leaving for v in views_by_engine.values())
-        return unheard and now - self._listening_since < SETTLE_SECONDS
+        unreported = any(v.digest is None and not v.leaving for v in views_by_engine.values())
+        return unreported and now - self._listening_since < SETTLE_SECONDS
 
-    def _is_heard(self, view: EngineView, now: float) -> bool:
+    def _is_reporting(self, view: EngineView, now: float) -> bool:
         """Return whether the engine told something sound lately."""
         sound = view.digest is not None and not view.digest.set_aside
-        return sound and self._quiet(view, now) <= SILENT_SECONDS
+        return sound and self._silent_seconds(view, now) <= SILENT_SECONDS
 
-    def _quiet(self, view: EngineView, now: float) -> float:
+    def _silent_seconds(self, view: EngineView, now: float) -> float:
         return now - max(view.seen_at, self._listening_since)
 
     def _room(
-        self, view: EngineView, cache_share: float, now: float, heard: set[str]
+        self, view: EngineView, cache_share: float, now: float, reporting_domains: set[str]
     ) -> EngineRoom | None:
-        quiet = self._quiet(view, now)
+        silent_seconds = self._silent_seconds(view, now)
         domain = view.member.failure_domain
-        if self._is_heard(view, now):
-            standing = Standing.OPEN
-        elif quiet <= ENGINE_GRACE_SECONDS:
-            standing = Standing.SILENT
-        elif domain not in heard and quiet <= DOMAIN_GRACE_SECONDS:
-            standing = Standing.CUT
+        if self._is_reporting(view, now):
+            availability = Availability.OPEN
+        elif silent_seconds <= ENGINE_GRACE_SECONDS:
+            availability = Availability.SILENT
+        elif domain not in reporting_domains and silent_seconds <= DOMAIN_GRACE_SECONDS:
+            availability = Availability.PARTITIONED
         else:
             return None
         if (digest := view.digest) is None:
-            return EngineRoom(view.member.id, domain, UNKNOWN_CAPACITY, 1, Standing.SILENT)
+            return EngineRoom(view.member.id, domain, UNKNOWN_CAPACITY, 1, Availability.SILENT)
         return EngineRoom(
             engine=view.member.id,
             failure_domain=domain,
             capacity_bytes=int(digest.capacity_bytes * (1 - cache_share)),
             slots=digest.slots,
-            standing=standing,
-            residents=_usable(digest),
+            availability=availability,
+            residents=_planning_residents(digest),
         )
 
 
-def _usable(digest: Digest) -> tuple[ResidentUnit, ...]:
+def _planning_residents(digest: Digest) -> tuple[ResidentUnit, ...]:
     """Return the residents; one that its owner is retiring counts as not ready.
 
     It takes memory until it is gone, but nothing may rely on its answers.
--- a/packages/redwingscale-daemon/tests/unit/placement/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/placement/conftest.py
@@ -8,7 +8,7 @@
 from redwingscale_common.configuration import Configuration, Unit, load_text
 from redwingscale_daemon._internal.configuration.accepted import Accepted, Pointer
 from redwingscale_daemon._internal.models.report import ResidentUnit
-from redwingscale_daemon._internal.placement.engine_room import EngineRoom, Standing
+from redwingscale_daemon._internal.placement.engine_room import Availability, EngineRoom
 from redwingscale_daemon._internal.placement.model_number import model_number
 from redwingscale_daemon._internal.placement.plan_maker import PlanMaker
 from redwingscale_daemon._internal.placement.planner import EMPTY_PLAN
@@ -24,7 +24,7 @@
         self.capacity = int(memory_gb * GIGABYTE)
         self.domains = {f"e{n}": domain for n, domain in enumerate(domains)}
         self.held: dict[str, dict[str, ResidentUnit]] = {e: {} for e in self.domains}
-        self.standing: dict[str, Standing] = {}
+        self.availability: dict[str, Availability] = {}
         self.maker = PlanMaker()
         self.plan = EMPTY_PLAN
         self.rates: dict[int, float] = {}
@@ -45,8 +45,8 @@
                 domain,
                 self.capacity,
                 32,
-                self.standing.get(e, Standing.OPEN),
-                () if e in self.standing else tuple(self.held[e].values()),
+                self.availability.get(e, Availability.OPEN),
+                () if e in self.availability else tuple(self.held[e].values()),
             )
             for e, domain in self.domains.items()
         }
--- a/packages/redwingscale-daemon/tests/unit/placement/test_engine_watch.py
+++ b/packages/redwingscale-daemon/tests/unit/placement/test_engine_watch.py
@@ -5,7 +5,7 @@
 import pytest
 from redwingscale_daemon._internal.models.member import EngineMember
 from redwingscale_daemon._internal.models.report import Digest, ResidentUnit
-from redwingscale_daemon._internal.placement.engine_room import Standing
+from redwingscale_daemon._internal.placement.engine_room import Availability
 from redwingscale_daemon._internal.placement.engine_watch import EngineWatch
 from redwingscale_daemon._internal.upstreams.directory import EngineView
 
@@ -19,21 +19,21 @@
     return make
 
 
-def _standings(watch, views, now):
+def _availabilities(watch, views, now):
     views = {v.member.id: v for v in views}
-    return {e: r.standing for e, r in watch.rooms(views, 0.1, now).items()}
+    return {e: r.availability for e, r in watch.rooms(views, 0.1, now).items()}
 
 
 def test_a_quiet_engine_is_lost_after_its_grace(make_view):
     watch = EngineWatch()
     for now in range(0, 40, 5):
         views = [make_view("e0", "a", 0.0), make_view("e1", "a", float(now))]
-        standings = _standings(watch, views, float(now))
-        assert standings["e1"] is Standing.OPEN
+        availabilities = _availabilities(watch, views, float(now))
+        assert availabilities["e1"] is Availability.OPEN
         if now == 20:
-            assert standings["e0"] is Standing.SILENT
+            assert availabilities["e0"] is Availability.SILENT
 
-    assert "e0" not in standings
+    assert "e0" not in availabilities
 
 
 def test_a_whole_domain_that_goes_quiet_is_cut_off_and_not_lost(make_view):
@@ -45,9 +45,9 @@
     watch = EngineWatch()
     for now in range(0, 300, 5):
         views = [make_view("e0", "a", 0.0), make_view("e1", "b", float(now))]
-        standings = _standings(watch, views, float(now))
+        availabilities = _availabilities(watch, views, float(now))
 
-    assert standings == {"e0": Standing.CUT, "e1": Standing.OPEN}
+    assert availabilities == {"e0": Availability.PARTITIONED, "e1": Availability.OPEN}
 
 
 def test_no_engine_is_lost_by_an_outage_of_the_platform(make_view):
@@ -57,11 +57,11 @@
     """
     watch = EngineWatch()
     views = [make_view("e0", "a", 0.0), make_view("e1", "b", 0.0)]
-    _standings(watch, views, 0.0)
+    _availabilities(watch, views, 0.0)
 
-    standings = _standings(watch, views, 3600.0)
+    availabilities = _availabilities(watch, views, 3600.0)
 
-    assert set(standings.values()) == {Standing.OPEN}
+    assert set(availabilities.values()) == {Availability.OPEN}
 
 
 def test_an_engine_set_aside_gets_nothing_and_is_lost_after_its_grace(make_view):
@@ -74,11 +74,11 @@
     aside = view._replace(digest=view.digest._replace(set_aside=True))
 
     seen = [
-        _standings(watch, [aside, make_view("e1", "a", float(now))], float(now))
+        _availabilities(watch, [aside, make_view("e1", "a", float(now))], float(now))
         for now in range(0, 40, 5)
     ]
 
-    assert seen[0]["e0"] is Standing.SILENT
+    assert seen[0]["e0"] is Availability.SILENT
     assert "e0" not in seen[-1]
 
 
--- a/packages/redwingscale-daemon/tests/unit/placement/test_plan_maker.py
+++ b/packages/redwingscale-daemon/tests/unit/placement/test_plan_maker.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from redwingscale_daemon._internal.placement.engine_room import Standing
+from redwingscale_daemon._internal.placement.engine_room import Availability
 
 IZMIR = ("izmir", "abcab", 144.0)
 ACCRA = ("accra", "abcabcabc", 144.0)
@@ -55,10 +55,10 @@
     fleet.settle()
     moves = fleet.moves
 
-    fleet.standing["e0"] = Standing.SILENT
+    fleet.availability["e0"] = Availability.SILENT
     for _ in range(5):
         fleet.step()
-    del fleet.standing["e0"]
+    del fleet.availability["e0"]
     fleet.settle()
 
     assert fleet.moves == moves
@@ -79,7 +79,7 @@
     fleet.step()
     before = fleet.ready_on("fraud-screen@v1")
 
-    fleet.standing = dict.fromkeys(fleet.domains, Standing.SILENT)
+    fleet.availability = dict.fromkeys(fleet.domains, Availability.SILENT)
     fleet.step()
 
     assert before
