--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/balance.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/balance.py
@@ -5,9 +5,9 @@
 
 from redwingscale_daemon._internal.placement.layout import Layout
 
-KNEE = 0.85
-OVERLOAD = 1.15
-SWEEPS = 4
+KNEE_UTILISATION = 0.85
+OVERLOAD_UTILISATION = 1.15
+SPREAD_ITERATIONS = 4
 
 
 class Change(NamedTuple):
@@ -19,7 +19,7 @@
 
 
 class Balance:
-    """Work in progress (requests at once) by engine, with each group's part in it.
+    """Work in progress (requests at once) by engine, with each group's replica_load in it.
 
     Each group's work is spread over its replicas so that the fullest of them is
     as empty as can be: what a load-aware router comes near to.
@@ -30,12 +30,12 @@
         self._load_by_key = load_by_key
         self._slots = {e: max(1, r.slots) for e, r in layout.rooms_by_engine.items()}
         self.load_by_engine = dict.fromkeys(layout.rooms_by_engine, 0.0)
-        self.parts_by_key: dict[str, dict[str, float]] = {
+        self.replica_loads_by_key: dict[str, dict[str, float]] = {
             key: dict.fromkeys(engines, 0.0)
             for key, engines in layout.engines_by_key.items()
             if engines and load_by_key.get(key, 0.0) > 0.0
         }
-        self._settle(sorted(self.parts_by_key, key=lambda k: -load_by_key[k]))
+        self._rebalance(sorted(self.replica_loads_by_key, key=lambda k: -load_by_key[k]))
 
     def utilisation(self, engine: str) -> float:
         """Return work per slot."""
@@ -43,14 +43,15 @@
 
     def gain(self, changes: Collection[Change]) -> float:
         """Return by how much the work on time rises with ``changes``; nothing is changed."""
-        parts, loads = self.parts_by_key, self.load_by_engine
-        self.parts_by_key, self.load_by_engine = dict(parts), dict(loads)
+        replica_loads, engine_loads = self.replica_loads_by_key, self.load_by_engine
+        self.replica_loads_by_key, self.load_by_engine = dict(replica_loads), dict(engine_loads)
         touched = self.apply(changes)
         gained = sum(
-            _on_time(self.load_by_engine[e], self._slots[e]) - _on_time(loads[e], self._slots[e])
+            _on_time_load(self.load_by_engine[e], self._slots[e])
+            - _on_time_load(engine_loads[e], self._slots[e])
             for e in touched
         )
-        self.parts_by_key, self.load_by_engine = parts, loads
+        self.replica_loads_by_key, self.load_by_engine = replica_loads, engine_loads
         return gained
 
     def apply(self, changes: Collection[Change]) -> set[str]:
@@ -61,38 +62,47 @@
         engines = {change.engine for change in changes}
         keys = {key for e in engines for key in self._layout.groups_by_engine[e]}
         keys |= {change.key for change in changes}
-        around = sorted(keys & self.parts_by_key.keys(), key=lambda k: -self._load_by_key[k])
+        around = sorted(
+            keys & self.replica_loads_by_key.keys(), key=lambda k: -self._load_by_key[k]
+        )
         for change in changes:
-            if change.key in self.parts_by_key:
+            if change.key in self.replica_loads_by_key:
                 self._change(change)
-        self._settle(around)
-        return engines | {e for key in around for e in self.parts_by_key[key]}
+        self._rebalance(around)
+        return engines | {e for key in around for e in self.replica_loads_by_key[key]}
 
     def _change(self, change: Change) -> None:
-        parts = dict(self.parts_by_key[change.key])
+        replica_loads = dict(self.replica_loads_by_key[change.key])
         if change.added:
-            parts[change.engine] = 0.0
+            replica_loads[change.engine] = 0.0
         else:
-            self.load_by_engine[change.engine] -= parts.pop(change.engine)
-        self.parts_by_key[change.key] = parts
+            self.load_by_engine[change.engine] -= replica_loads.pop(change.engine)
+        self.replica_loads_by_key[change.key] = replica_loads
 
-    def _settle(self, keys: list[str]) -> None:
-        for _ in range(SWEEPS):
+    def _rebalance(self, keys: list[str]) -> None:
+        for _ in range(SPREAD_ITERATIONS):
             for key in keys:
                 self._spread(key)
 
     def _spread(self, key: str) -> None:
         """Fill the emptiest replicas first, all else as it is."""
-        parts, loads, slots = self.parts_by_key[key], self.load_by_engine, self._slots
-        others = sorted(((loads[e] - part) / slots[e], e) for e, part in parts.items())
-        level = _level(others, slots, self._load_by_key[key])
+        replica_loads, engine_loads, slots = (
+            self.replica_loads_by_key[key],
+            self.load_by_engine,
+            self._slots,
+        )
+        others = sorted(
+            ((engine_loads[e] - replica_load) / slots[e], e)
+            for e, replica_load in replica_loads.items()
+        )
+        level = _fill_level(others, slots, self._load_by_key[key])
         spread = {e: max(0.0, (level - height) * slots[e]) for height, e in others}
-        for engine, part in spread.items():
-            loads[engine] += part - parts[engine]
-        self.parts_by_key[key] = spread
+        for engine, replica_load in spread.items():
+            engine_loads[engine] += replica_load - replica_loads[engine]
+        self.replica_loads_by_key[key] = spread
 
 
-def _level(others: list[tuple[float, str]], slots: dict[str, int], work: float) -> float:
+def _fill_level(others: list[tuple[float, str]], slots: dict[str, int], work: float) -> float:
     """Return how full per slot the replicas get that ``work`` is poured into."""
     width, volume, level = 0, work, 0.0
     for index, (height, engine) in enumerate(others):
@@ -104,7 +114,7 @@
     return level
 
 
-def _on_time(load: float, slots: int) -> float:
-    """Return the part of ``load`` that is on time: all up to the knee, then half of it."""
-    knee, top = KNEE * slots, OVERLOAD * slots
+def _on_time_load(load: float, slots: int) -> float:
+    """Return the replica_load of ``load`` that is on time: all up to the knee, then half of it."""
+    knee, top = KNEE_UTILISATION * slots, OVERLOAD_UTILISATION * slots
     return min(load, knee) + (min(load, top) - knee) / 2 if load > knee else load
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/growth.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/growth.py
@@ -4,7 +4,7 @@
 from itertools import islice, product
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.placement.balance import KNEE, Balance, Change
+from redwingscale_daemon._internal.placement.balance import KNEE_UTILISATION, Balance, Change
 from redwingscale_daemon._internal.placement.group import Group
 from redwingscale_daemon._internal.placement.layout import Layout
 
@@ -26,31 +26,31 @@
     moves: int
 
 
-class Worth(NamedTuple):
+class MoveWorth(NamedTuple):
     """What moves are weighed with: price in requests, and a request's time at an engine."""
 
     move_price: float
     service_seconds: float
 
     @classmethod
-    def of(cls, moves_weight: float, service_seconds: float) -> "Worth":
+    def from_moves_weight(cls, moves_weight: float, service_seconds: float) -> "MoveWorth":
         """Return the price that the operators' ``moves_weight`` sets; 1 forbids moves."""
         if moves_weight >= 1.0:
             return cls(float("inf"), service_seconds)
         return cls(REQUESTS_PER_MOVE * moves_weight / (1.0 - moves_weight), service_seconds)
 
     def surplus(self, gained_work: float, moves: int) -> float:
-        """Return the requests won over half an hour, less the price of the moves."""
-        won = gained_work / self.service_seconds * HORIZON_SECONDS
+        """Return the requests gained_requests over half an hour, less the price of the moves."""
+        gained_requests = gained_work / self.service_seconds * HORIZON_SECONDS
         # One request a move even when moves are free: rounding must not cause any.
-        return won - moves * max(1.0, self.move_price)
+        return gained_requests - moves * max(1.0, self.move_price)
 
 
 def follow_demand(
     layout: Layout,
     groups_by_key: Mapping[str, Group],
     load_by_key: dict[str, float],
-    worth: Worth,
+    worth: MoveWorth,
 ) -> list[Step]:
     """Change ``layout`` step by step while a step is worth its moves; return the steps."""
     balance = Balance(layout, load_by_key)
@@ -66,7 +66,7 @@
 
 
 def _best_step(
-    layout: Layout, groups_by_key: Mapping[str, Group], balance: Balance, worth: Worth
+    layout: Layout, groups_by_key: Mapping[str, Group], balance: Balance, worth: MoveWorth
 ) -> Step | None:
     best, best_surplus = None, 0.0
     for step in islice(_candidates(layout, groups_by_key, balance), MAX_CANDIDATES):
@@ -91,22 +91,22 @@
     """Yield what may relieve the fullest engines."""
     rooms = layout.rooms_by_engine
     order = sorted((e for e in rooms if rooms[e].is_open), key=balance.utilisation)
-    hot = [e for e in reversed(order[-HOT_ENGINES:]) if balance.utilisation(e) > KNEE]
+    hot = [e for e in reversed(order[-HOT_ENGINES:]) if balance.utilisation(e) > KNEE_UTILISATION]
     for source, target in product(hot, order[:COLD_ENGINES]):
         if source == target:
             continue
         for key in _hottest(balance, layout, source):
             group = groups_by_key[key]
             if layout.accepts(target, group):
-                yield from _relief(layout, group, source, target, balance, order)
+                yield from _steps_towards(layout, group, source, target, balance, order)
 
 
 def _hottest(balance: Balance, layout: Layout, engine: str) -> list[str]:
-    keys = [k for k in layout.groups_by_engine[engine] if k in balance.parts_by_key]
-    return sorted(keys, key=lambda k: -balance.parts_by_key[k][engine])[:HOT_GROUPS]
+    keys = [k for k in layout.groups_by_engine[engine] if k in balance.replica_loads_by_key]
+    return sorted(keys, key=lambda k: -balance.replica_loads_by_key[k][engine])[:HOT_GROUPS]
 
 
-def _relief(
+def _steps_towards(
     layout: Layout, group: Group, source: str, target: str, balance: Balance, order: Sequence[str]
 ) -> Iterator[Step]:
     lacking = group.size_bytes - layout.free_bytes(target)
@@ -119,11 +119,11 @@
     for cold in _coldest(layout, target, balance):
         if cold.size_bytes < lacking:
             continue
-        away = Change(target, cold.key, added=False)
+        evict = Change(target, cold.key, added=False)
         if len(layout.replicas(cold.key)) > 2 and len(layout.domains(cold.key, target)) > 1:
-            yield Step((away, add), len(cold.units) + len(group.units))
+            yield Step((evict, add), len(cold.units) + len(group.units))
         yield from _exchange(layout, group, cold, source, target)
-        yield from _pushed_on(layout, group, cold, target, order)
+        yield from _move_on(layout, group, cold, target, order)
 
 
 def _exchange(
@@ -146,32 +146,32 @@
         yield Step(changes, 2 * (len(group.units) + len(cold.units)))
 
 
-def _pushed_on(
+def _move_on(
     layout: Layout, group: Group, cold: Group, target: str, order: Sequence[str]
 ) -> Iterator[Step]:
     """Yield the step in which ``cold`` moves to a third engine to let ``group`` in."""
-    refuges = (
+    destinations = (
         e
         for e in order[:MAX_DESTINATIONS_TRIED]
         if layout.accepts(e, cold)
         and layout.free_bytes(e) >= cold.size_bytes
         and _may_move(layout, cold, target, e)
     )
-    refuge = next(refuges, None)
-    if refuge is not None:
+    destination = next(destinations, None)
+    if destination is not None:
         changes = (
             Change(target, cold.key, added=False),
-            Change(refuge, cold.key, added=True),
+            Change(destination, cold.key, added=True),
             Change(target, group.key, added=True),
         )
         yield Step(changes, 2 * len(cold.units) + len(group.units))
 
 
 def _coldest(layout: Layout, engine: str, balance: Balance) -> list[Group]:
-    def part(group: Group) -> float:
-        return balance.parts_by_key.get(group.key, {}).get(engine, 0.0)
+    def replica_load(group: Group) -> float:
+        return balance.replica_loads_by_key.get(group.key, {}).get(engine, 0.0)
 
-    return sorted(layout.groups_by_engine[engine].values(), key=part)[:COLD_GROUPS]
+    return sorted(layout.groups_by_engine[engine].values(), key=replica_load)[:COLD_GROUPS]
 
 
 def _may_move(layout: Layout, group: Group, source: str, target: str) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/make_room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/make_room.py
@@ -58,7 +58,7 @@
         to = (
             ""
             if _is_spare(layout, displaced, replica)
-            else _refuge(layout, displaced, engine, taken)
+            else _destination(layout, displaced, engine, taken)
         )
         if to is None:
             continue
@@ -85,7 +85,7 @@
     return len(layout.replicas(group.key)) > replica
 
 
-def _refuge(layout: Layout, group: Group, engine: str, taken: Mapping[str, int]) -> str | None:
+def _destination(layout: Layout, group: Group, engine: str, taken: Mapping[str, int]) -> str | None:
     """Return an engine with room for ``group`` in a failure domain that it may move to."""
     used = layout.domains(group.key, without=engine)
     fitting = [
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_maker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_maker.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.placement.assign import assign
 from redwingscale_daemon._internal.placement.engine_room import EngineRoom
 from redwingscale_daemon._internal.placement.group import Group, all_groups, serving_keys
-from redwingscale_daemon._internal.placement.growth import Step, Worth, follow_demand
+from redwingscale_daemon._internal.placement.growth import MoveWorth, Step, follow_demand
 from redwingscale_daemon._internal.placement.hand_over import HandOver, Target
 from redwingscale_daemon._internal.placement.load_gate import LoadGate
 from redwingscale_daemon._internal.placement.model_number import model_number
@@ -60,7 +60,9 @@
     ) -> Target:
         serving = {key: groups_by_key[key] for key in sorted(serving_keys(configuration))}
         layout, findings = assign(serving, rooms_by_engine, old.target_by_engine, load_by_key)
-        worth = Worth.of(configuration.policy.moves_weight, self.service_time.seconds)
+        worth = MoveWorth.from_moves_weight(
+            configuration.policy.moves_weight, self.service_time.seconds
+        )
         steps = follow_demand(layout, serving, load_by_key, worth)
         self._log(steps, findings)
         return layout.groups_by_engine
