--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/assign.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/assign.py
@@ -31,13 +31,13 @@
     replicas where there is no other. What does not fit is left out by demand:
     the least wanted models are the ones that are missing.
     """
-    layout = _kept(groups_by_key, rooms_by_engine, previous_by_engine)
-    groups = _in_order(groups_by_key, layout, load_by_key)
+    layout = _keep_previous(groups_by_key, rooms_by_engine, previous_by_engine)
+    groups = _in_placement_order(groups_by_key, layout, load_by_key)
     missing = [g for g in groups if not _is_reachable(layout, g)]
-    findings = [_finding(g) for g in missing if not _place(layout, g, 1, load_by_key)]
+    findings = [_finding(g) for g in missing if not _place_replica(layout, g, 1, load_by_key)]
     for group in groups:
         if len(layout.domains(group.key)) == 1:
-            _place(layout, group, 2, load_by_key)
+            _place_replica(layout, group, 2, load_by_key)
     return Assignment(layout, findings)
 
 
@@ -48,7 +48,7 @@
     )
 
 
-def _kept(
+def _keep_previous(
     groups_by_key: Mapping[str, Group],
     rooms_by_engine: Mapping[str, EngineRoom],
     previous_by_engine: Mapping[str, Collection[str]],
@@ -62,7 +62,7 @@
     return layout
 
 
-def _in_order(
+def _in_placement_order(
     groups_by_key: Mapping[str, Group], layout: Layout, load_by_key: Mapping[str, float]
 ) -> list[Group]:
     capacity = sum(r.capacity_bytes for r in layout.rooms_by_engine.values() if r.is_open)
@@ -81,7 +81,9 @@
     )
 
 
-def _place(layout: Layout, group: Group, replica: int, load_by_key: Mapping[str, float]) -> bool:
+def _place_replica(
+    layout: Layout, group: Group, replica: int, load_by_key: Mapping[str, float]
+) -> bool:
     """Add replica number ``replica`` of ``group``; return whether there was room."""
     taken = layout.domains(group.key)
     engines = [
@@ -102,8 +104,8 @@
 
 
 def _preference(layout: Layout, engine: str, group: Group) -> tuple[bool, bool, int, str]:
-    """Rank where it is already resident, then where it fits beside all that is."""
+    """Rank where it is already resident, then where it fits fits_beside_residents all that is."""
     room = layout.rooms_by_engine[engine]
     resident_bytes = sum(r.size_bytes for r in room.residents)
-    beside = room.capacity_bytes - resident_bytes >= group.size_bytes
-    return room.holds(group.key), beside, layout.free_bytes(engine), engine
+    fits_beside_residents = room.capacity_bytes - resident_bytes >= group.size_bytes
+    return room.holds(group.key), fits_beside_residents, layout.free_bytes(engine), engine
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/choice.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/choice.py
@@ -23,7 +23,7 @@
     limit_bytes: int
 
 
-def loads(situation: Situation, retiring: Iterable[str]) -> Iterator[PlannedUnit]:
+def units_to_load(situation: Situation, retiring: Iterable[str]) -> Iterator[PlannedUnit]:
     """Yield planned units that fit beside everything that may be resident.
 
     An adapter goes out only when its base answers requests. What does not fit
@@ -41,14 +41,14 @@
             yield planned
 
 
-def is_short(situation: Situation) -> bool:
+def is_short_of_memory(situation: Situation) -> bool:
     """Return whether a planned unit waits for memory."""
     reserved = situation.ledger.reserved_by_unit(situation.report)
     missing = [p.size_bytes for p in situation.planned if p.unit not in reserved]
     return sum(reserved.values()) + sum(missing) > situation.limit_bytes and bool(missing)
 
 
-def unplanned(situation: Situation) -> list[ResidentUnit]:
+def unplanned_units(situation: Situation) -> list[ResidentUnit]:
     """Return the units that are ready, not in the plan, and not under an order."""
     planned = {p.unit for p in situation.planned}
     kept = planned | {base_of(unit) for unit in planned}
@@ -59,11 +59,11 @@
     ]
 
 
-def unloads(situation: Situation, drained: set[str]) -> list[ResidentUnit]:
+def units_to_unload(situation: Situation, drained: set[str]) -> list[ResidentUnit]:
     """Return the drained units that may go now: a base only after its adapters."""
     reserved = situation.ledger.reserved_by_unit(situation.report)
     needed = {base_of(unit) for unit in reserved if base_of(unit) != unit}
-    return [r for r in unplanned(situation) if r.unit in drained and r.unit not in needed]
+    return [r for r in unplanned_units(situation) if r.unit in drained and r.unit not in needed]
 
 
 def base_of(unit: str) -> str:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_acks.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_acks.py
@@ -31,7 +31,7 @@
         self._acks_by_instance: dict[str, dict[str, DrainAck]] = {}
         gossip.subscribe(TOPIC, self._on_entry)
 
-    def all_done(self, engine: str, unit: str, since: RetirementMark, waited: float) -> bool:
+    def all_drained(self, engine: str, unit: str, since: RetirementMark, waited: float) -> bool:
         """Return whether no instance routes to or runs ``unit`` on ``engine`` any more.
 
         ``since`` is the mark with which ``unit`` began to retire, ``waited``
@@ -39,11 +39,11 @@
         """
         instances = {self._instance, *(m.id for m in self._members.instances())}
         return all(
-            self._is_done(instance, engine, unit, since) or self._is_silent(instance, waited)
+            self._has_drained(instance, engine, unit, since) or self._is_silent(instance, waited)
             for instance in instances
         )
 
-    def _is_done(self, instance: str, engine: str, unit: str, since: RetirementMark) -> bool:
+    def _has_drained(self, instance: str, engine: str, unit: str, since: RetirementMark) -> bool:
         ack = self._acks_by_instance.get(instance, {}).get(engine)
         return ack is not None and ack.mark >= since and unit in ack.units
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_reporter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_reporter.py
@@ -13,14 +13,14 @@
 
 # How often `DrainReporter.step` should run: every unload waits for it.
 STEP_SECONDS = 0.2
-# A request may have chosen its engine just before the retirement was heard of, and
+# A request may have chosen its engine just before the retirement was seen of, and
 # be counted as in flight only after it.
 SETTLE_SECONDS = 0.2
 
 
-class _Heard(NamedTuple):
+class _SeenMark(NamedTuple):
     mark: RetirementMark
-    at: float
+    seen_at: float
 
 
 class DrainReporter:
@@ -42,16 +42,16 @@
         self._in_flight = in_flight
         self._clock = clock
         self._changed: set[str] = set()
-        self._heard_by_engine: dict[str, _Heard] = {}
+        self._seen_by_engine: dict[str, _SeenMark] = {}
         self._published: list[DrainAck] = []
         gossip.subscribe(DIGEST_TOPIC, lambda entry: self._changed.add(entry.key))
 
     def step(self) -> None:
         """Look at the engines that retire units, and at those with news."""
         changed = [self._changed.pop() for _ in range(len(self._changed))]
-        digests = [self._digest(engine) for engine in sorted({*changed, *self._heard_by_engine})]
+        digests = [self._digest(engine) for engine in sorted({*changed, *self._seen_by_engine})]
         acks = [self._ack(digest) for digest in digests if digest and digest.retiring]
-        self._heard_by_engine = {a.upstream: self._heard_by_engine[a.upstream] for a in acks}
+        self._seen_by_engine = {a.upstream: self._seen_by_engine[a.upstream] for a in acks}
         if acks != self._published:
             self._published = acks
             self._gossip.publish(TOPIC, KEY, acks)
@@ -63,15 +63,15 @@
     def _ack(self, digest: Digest) -> DrainAck:
         engine = digest.upstream
         mark = RetirementMark(digest.fence, digest.retirement)
-        heard = self._heard_by_engine.get(engine)
+        seen = self._seen_by_engine.get(engine)
         # Any new mark begins anew: between two looks a unit may have been kept, used
         # and retired again.
-        if heard is None or heard.mark != mark:
-            heard = _Heard(mark, self._clock())
-        self._heard_by_engine[engine] = heard
-        drained = [unit for unit in digest.retiring if self._is_drained(engine, unit, heard.at)]
+        if seen is None or seen.mark != mark:
+            seen = _SeenMark(mark, self._clock())
+        self._seen_by_engine[engine] = seen
+        drained = [unit for unit in digest.retiring if self._is_drained(engine, unit, seen.seen_at)]
         return DrainAck(engine, mark, tuple(drained))
 
-    def _is_drained(self, engine: str, unit: str, heard_at: float) -> bool:
-        settled_at = heard_at + SETTLE_SECONDS
+    def _is_drained(self, engine: str, unit: str, seen_at: float) -> bool:
+        settled_at = seen_at + SETTLE_SECONDS
         return self._clock() > settled_at and not self._in_flight.uses(engine, unit, settled_at)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/hand_over.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/hand_over.py
@@ -16,7 +16,7 @@
     """Decides, engine by engine, what is listed before new loads are let through.
 
     Make before break: a group that is resident but no longer wanted stays until
-    its model is ready on enough of the engines where it is wanted. It goes
+    its model is ready on required of the engines where it is wanted. It goes
     earlier only if its room is needed and another ready copy of its model
     remains. ``groups_by_key`` has every listed version; what it lacks goes at once.
     """
@@ -31,12 +31,12 @@
         self._target = target
         self._rooms_by_engine = rooms_by_engine
         self._ready_by_engine = {e: self._ready(room) for e, room in rooms_by_engine.items()}
-        self._copies = Counter(
+        self._ready_copies = Counter(
             groups_by_key[key].model for keys in self._ready_by_engine.values() for key in keys
         )
         wanted = [(e, key, g.model) for e, groups in target.items() for key, g in groups.items()]
         self._wanted = Counter(model for _, _, model in wanted)
-        self._staying = Counter(m for e, key, m in wanted if key in self._ready_by_engine[e])
+        self._ready_wanted = Counter(m for e, key, m in wanted if key in self._ready_by_engine[e])
 
     def listed(
         self, released_by_engine: Mapping[str, Iterable[PlannedUnit]]
@@ -54,14 +54,14 @@
             # What answers there is not known now. Its owner may be well, and would
             # unload the only copy of a model if this plan did not list it.
             return released
-        return self._wanted_here(room, set(released)) | self._kept(room)
+        return self._wanted_here(room, set(released)) | self._kept_here(room)
 
     def _wanted_here(self, room: EngineRoom, released: set[str]) -> dict[str, PlannedUnit]:
         present = released | {r.unit for r in room.residents}
         groups = self._target[room.engine].values()
         return {p.unit: p for group in groups for p in group.units if p.unit in present}
 
-    def _kept(self, room: EngineRoom) -> dict[str, PlannedUnit]:
+    def _kept_here(self, room: EngineRoom) -> dict[str, PlannedUnit]:
         target = self._target[room.engine]
         serving = [r.unit for r in room.residents if r.ready and r.unit not in target]
         obsolete = [self._groups_by_key[key] for key in serving if key in self._groups_by_key]
@@ -69,20 +69,20 @@
         return {
             p.unit: p
             for group in obsolete
-            if not self._may_go(room, group)
+            if not self._may_unload(room, group)
             for p in group.units
             if p.unit in present
         }
 
-    def _may_go(self, room: EngineRoom, group: Group) -> bool:
-        counts = group.key in self._ready_by_engine[room.engine]
-        others = self._copies[group.model] - counts
-        enough = min(REQUIRED_SUBSTITUTES, self._wanted[group.model])
-        replaced = 0 < enough <= self._staying[group.model]
-        if not replaced and not (others > 0 and self._is_tight(room)):
+    def _may_unload(self, room: EngineRoom, group: Group) -> bool:
+        is_ready = group.key in self._ready_by_engine[room.engine]
+        others = self._ready_copies[group.model] - is_ready
+        required = min(REQUIRED_SUBSTITUTES, self._wanted[group.model])
+        replaced = 0 < required <= self._ready_wanted[group.model]
+        if not replaced and not (others > 0 and self._lacks_memory(room)):
             return False
         # Counted out at once, so that two engines never both give up the last two copies.
-        self._copies[group.model] -= counts
+        self._ready_copies[group.model] -= is_ready
         return True
 
     def _ready(self, room: EngineRoom) -> set[str]:
@@ -93,7 +93,7 @@
         groups = [self._groups_by_key[u] for u in units if u in self._groups_by_key]
         return {g.key for g in groups if all(p.unit in units for p in g.units)}
 
-    def _is_tight(self, room: EngineRoom) -> bool:
+    def _lacks_memory(self, room: EngineRoom) -> bool:
         """Return whether what is wanted does not fit beside what is resident."""
         groups = self._target[room.engine].values()
         sizes = {r.unit: r.size_bytes for r in room.residents}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/ledger.py
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self._open_by_id: dict[str, OpenOrder] = {}
-        self._vanished: set[str] = set()
+        self._done_but_absent: set[str] = set()
 
     def open_orders(self) -> list[OpenOrder]:
         """Return what may still take effect."""
@@ -58,19 +58,21 @@
 
         ``polled_at`` is when the poll was sent, on the clock of ``sent_by``.
         """
-        verdicts = [(o.order, _verdict(engine, report, polled_at, o)) for o in self.open_orders()]
-        ended = [ClosedOrder(order, outcome) for order, outcome in verdicts if outcome]
-        vanished = {e.order.order_id for e in ended if _has_vanished(e, report)}
+        outcomes = [(o.order, _outcome(engine, report, polled_at, o)) for o in self.open_orders()]
+        ended = [ClosedOrder(order, outcome) for order, outcome in outcomes if outcome]
+        done_but_absent = {e.order.order_id for e in ended if _is_done_but_absent(e, report)}
         # A load that is done, of a unit that is not there: gone again, or the engine read
         # its memory before its orders. The next report cannot be torn at the same place.
-        closed = [e for e in ended if e.order.order_id not in vanished - self._vanished]
-        self._vanished = vanished
+        closed = [
+            e for e in ended if e.order.order_id not in done_but_absent - self._done_but_absent
+        ]
+        self._done_but_absent = done_but_absent
         for order, _ in closed:
             self.drop(order.order_id)
         return closed
 
 
-def _verdict(
+def _outcome(
     engine: EngineMember, report: Report, polled_at: float, opened: OpenOrder
 ) -> Outcome | None:
     order = opened.order
@@ -92,7 +94,7 @@
     return Outcome.DONE if resident == order.load else Outcome.VOID
 
 
-def _has_vanished(ended: ClosedOrder, report: Report) -> bool:
+def _is_done_but_absent(ended: ClosedOrder, report: Report) -> bool:
     order, outcome = ended
     resident = any(r.unit == order.unit for r in report.residents)
     return order.load and outcome is Outcome.DONE and not resident
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/load_gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/load_gate.py
@@ -13,7 +13,7 @@
 LOAD_TIMEOUT_SECONDS = 120.0
 
 
-class Wanted(NamedTuple):
+class PendingLoad(NamedTuple):
     """A load that waits: ``copy`` counts the replicas that are ahead of it."""
 
     copy: int
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self._tokens = 1.0
         self._refilled_at: float | None = None
-        self._since: dict[tuple[str, str], float] = {}
+        self._started_at: dict[tuple[str, str], float] = {}
 
     def release(
         self,
@@ -49,16 +49,16 @@
         """Add the loads that may start now to ``listed_by_engine``; return how many wait."""
         self._refill(store, now)
         running = self._running(listed_by_engine, rooms_by_engine, now)
-        waiting = _waiting(listed_by_engine, target_by_engine, rooms_by_engine, load_by_key)
-        free = {e: _free(rooms_by_engine[e], listed_by_engine[e]) for e in target_by_engine}
+        waiting = _pending_loads(listed_by_engine, target_by_engine, rooms_by_engine, load_by_key)
+        free = {e: _free_bytes(rooms_by_engine[e], listed_by_engine[e]) for e in target_by_engine}
         released = 0
-        for wanted in waiting:
+        for pending in waiting:
             if running >= store.concurrent_loads or self._tokens < 1.0:
                 break
-            if wanted.planned.size_bytes > free[wanted.engine]:
+            if pending.planned.size_bytes > free[pending.engine]:
                 continue
-            listed_by_engine[wanted.engine][wanted.planned.unit] = wanted.planned
-            free[wanted.engine] -= wanted.planned.size_bytes
+            listed_by_engine[pending.engine][pending.planned.unit] = pending.planned
+            free[pending.engine] -= pending.planned.size_bytes
             self._tokens -= 1.0
             running += 1
             released += 1
@@ -75,12 +75,12 @@
         An engine that takes loads and never ends one would otherwise fill the
         gate, and no other engine would load anything again.
         """
-        since, self._since = self._since, {}
+        started_at, self._started_at = self._started_at, {}
         for engine, units in listed_by_engine.items():
             room = rooms_by_engine[engine]
             for unit in units.keys() - _ready(room) if room.is_open else ():
-                self._since[engine, unit] = since.get((engine, unit), now)
-        return sum(now - begun < LOAD_TIMEOUT_SECONDS for begun in self._since.values())
+                self._started_at[engine, unit] = started_at.get((engine, unit), now)
+        return sum(now - started < LOAD_TIMEOUT_SECONDS for started in self._started_at.values())
 
     def _refill(self, store: WeightStore, now: float) -> None:
         elapsed = 0.0 if self._refilled_at is None else now - self._refilled_at
@@ -90,12 +90,12 @@
         self._tokens = min(saved + elapsed * store.loads_per_second, store.concurrent_loads)
 
 
-def _waiting(
+def _pending_loads(
     listed_by_engine: Mapping[str, Mapping[str, PlannedUnit]],
     target_by_engine: Mapping[str, Mapping[str, Group]],
     rooms_by_engine: Mapping[str, EngineRoom],
     load_by_key: Mapping[str, float],
-) -> list[Wanted]:
+) -> list[PendingLoad]:
     """Return first replicas by demand, their adapters, second replicas, and so on."""
     copies = Counter(unit for units in listed_by_engine.values() for unit in units)
     waiting = []
@@ -111,7 +111,7 @@
                 if planned.unit in listed or (is_adapter and group.key not in ready):
                     continue
                 load = load_by_key.get(group.key, 0.0)
-                waiting.append(Wanted(copies[planned.unit], is_adapter, load, engine, planned))
+                waiting.append(PendingLoad(copies[planned.unit], is_adapter, load, engine, planned))
                 copies[planned.unit] += 1
     return sorted(waiting, key=lambda w: (w.copy, w.is_adapter, -w.load, w.planned, w.engine))
 
@@ -120,7 +120,7 @@
     return {r.unit for r in room.residents if r.ready}
 
 
-def _free(room: EngineRoom, listed: Mapping[str, PlannedUnit]) -> int:
+def _free_bytes(room: EngineRoom, listed: Mapping[str, PlannedUnit]) -> int:
     """Return the memory beside all that is resident and all that is let through."""
     sizes = {r.unit: r.size_bytes for r in room.residents}
     sizes |= {unit: planned.size_bytes for unit, planned in listed.items()}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
@@ -58,8 +58,8 @@
                 return
             # Once more at once, if the fence had to be raised: what a report from before
             # it does not show may still have been started by an earlier holder.
-            if not self._work(engine, grant):
-                self._work(engine, grant)
+            if not self._poll_and_order(engine, grant):
+                self._poll_and_order(engine, grant)
 
     @property
     def is_busy(self) -> bool:
@@ -71,7 +71,7 @@
         with self._lock:
             return
 
-    def _work(self, engine: EngineMember, grant: Grant) -> bool:
+    def _poll_and_order(self, engine: EngineMember, grant: Grant) -> bool:
         """Poll, publish and order; return False when a fresh report is needed."""
         polled_at = self._parts.clock()
         report = self._poll(engine, grant)
@@ -116,11 +116,11 @@
         if digest is None or (digest.set_aside and digest.fence == grant.fence):
             return
         log_event("upstream_set_aside", level="WARNING", upstream=self._engine)
-        aside = digest._replace(fence=grant.fence, set_aside=True)
+        set_aside_digest = digest._replace(fence=grant.fence, set_aside=True)
         # Told through the news as well: the first sound report after it differs from
         # it, so the engine is back at once and not only with the next refresh.
-        self._digest_filter.admit(aside)
-        self._parts.gossip.publish(TOPIC, self._engine, aside)
+        self._digest_filter.admit(set_aside_digest)
+        self._parts.gossip.publish(TOPIC, self._engine, set_aside_digest)
 
     def _publish(self, grant: Grant, report: Report) -> None:
         digest = Digest(
@@ -174,7 +174,7 @@
 
     def _is_unsafe(self, engine: EngineMember, grant: Grant, report: Report) -> bool:
         """Return whether no order may go out by this report."""
-        if engine.checks_fencing and self._has_unseen(report):
+        if engine.checks_fencing and self._has_unreported_order(report):
             # Only a held grant can be replaced; past its lease the orders stay reserved.
             self._parts.ownership.raise_fence(self._engine)
             return True
@@ -188,7 +188,7 @@
             return False
         return True
 
-    def _has_unseen(self, report: Report) -> bool:
+    def _has_unreported_order(self, report: Report) -> bool:
         now = self._parts.clock()
         return any(
             o.order.order_id not in report.orders and now - o.sent_by > UNREPORTED_ORDER_SECONDS
@@ -205,11 +205,11 @@
         return Situation(report, self._sender.ledger, planned, limit)
 
     def _to_retire(self, situation: Situation, plan: Plan) -> set[str]:
-        unplanned = [r.unit for r in choice.unplanned(situation)]
+        unplanned = [r.unit for r in choice.unplanned_units(situation)]
         replaced = {u for u in unplanned if self._replacements.are_ready(u, plan)}
         waiting = set(unplanned) - replaced
         engine = self._engine
-        if not waiting or not choice.is_short(situation):
+        if not waiting or not choice.is_short_of_memory(situation):
             self._blocked_since = None
             return replaced | situation.ledger.unloading()
         now = self._parts.clock()
@@ -218,7 +218,11 @@
             # What the plan wants here cannot come before something goes. The last copy
             # of a model that is to move elsewhere stays: a plan that is stuck costs
             # attainment, a listed model that answers nowhere breaks a promise.
-            spare = {u for u in waiting if self._replacements.may_go_unreplaced(u, engine, plan)}
+            spare = {
+                u
+                for u in waiting
+                if self._replacements.may_unload_without_replacement(u, engine, plan)
+            }
             log_event(
                 "retiring_blocked",
                 level="WARNING",
@@ -230,12 +234,12 @@
         return replaced | situation.ledger.unloading()
 
     def _orders(self, situation: Situation, grant: Grant) -> list[Order]:
-        leaving = choice.unloads(situation, self._retirements.drained())
-        coming = choice.loads(situation, self._retirements.units)
-        unloads = [_new_order(False, r.unit, r.size_bytes, grant) for r in leaving]
+        to_unload = choice.units_to_unload(situation, self._retirements.drained())
+        to_load = choice.units_to_load(situation, self._retirements.units)
+        unloads = [_new_order(False, r.unit, r.size_bytes, grant) for r in to_unload]
         loads = [
             _new_order(True, p.unit, p.size_bytes, grant)
-            for p in coming
+            for p in to_load
             if self._backoff.is_over(p.unit)
         ]
         return unloads + loads
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owners.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owners.py
@@ -52,14 +52,14 @@
         with self._lock:
             if self._stopped:
                 return
-            wanted = self._wanted()
-            for engine in self._work_by_engine.keys() - wanted:
+            assigned = self._assigned_engines()
+            for engine in self._work_by_engine.keys() - assigned:
                 self._end(engine)
-            for engine in wanted - self._work_by_engine.keys():
+            for engine in assigned - self._work_by_engine.keys():
                 self._start(engine)
 
-    def _wanted(self) -> set[str]:
-        return {engine.id for engine in self._members.engines() if self._falls_here(engine)}
+    def _assigned_engines(self) -> set[str]:
+        return {engine.id for engine in self._members.engines() if self._is_assigned_here(engine)}
 
     def stop(self) -> None:
         """End all work and give the ownerships and the session back, for good.
@@ -104,7 +104,7 @@
         if grant is not None and isinstance(member, EngineMember):
             owner.step(member, grant)
 
-    def _falls_here(self, engine: EngineMember) -> bool:
+    def _is_assigned_here(self, engine: EngineMember) -> bool:
         if engine.failure_domain != self._instance.failure_domain:
             return False
         alive = [
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/planner.py
@@ -57,7 +57,7 @@
         if not rooms or (old is EMPTY_PLAN and self._watch.is_settling(views, now)):
             return
         rates = self._demand.rates_by_number()
-        self._learn_service_time(views.values(), sum(rates.values()))
+        self._update_service_time(views.values(), sum(rates.values()))
         plan = self._maker.next_plan(old, accepted, rooms, rates, now)
         # An engine that leaves or is lost keeps its lines until the list drops it:
         # what runs there ends undisturbed, and if it comes back it need not reload.
@@ -68,7 +68,7 @@
         if self._store.write(plan):
             log_event("plan_written", sequence=plan.sequence, engines=len(plan.units_by_engine))
 
-    def _learn_service_time(self, views: Iterable[EngineView], rate: float) -> None:
+    def _update_service_time(self, views: Iterable[EngineView], rate: float) -> None:
         digests = [view.digest for view in views if view.digest is not None]
         running = sum(digest.running for digest in digests)
         self._maker.service_time.update(running, sum(d.slots for d in digests), rate)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/replacements.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/replacements.py
@@ -15,15 +15,15 @@
     def are_ready(self, unit: str, plan: Plan) -> bool:
         """Return whether a planned replica of ``unit`` answers, or none is planned at all."""
         wanted = Unit.parse(unit)
-        places = [
+        replicas = [
             (engine, planned.unit)
             for engine, units in plan.units_by_engine.items()
             for planned in units
             if _replaces(Unit.parse(planned.unit), wanted)
         ]
-        return not places or any(self._answers(engine, other) for engine, other in places)
+        return not replicas or any(self._is_ready_on(engine, other) for engine, other in replicas)
 
-    def may_go_unreplaced(self, unit: str, engine: str, plan: Plan) -> bool:
+    def may_unload_without_replacement(self, unit: str, engine: str, plan: Plan) -> bool:
         """Return whether ``unit`` may leave ``engine`` though no planned replica answers.
 
         It may if it answers at another engine, planned or not. It may also if what
@@ -37,7 +37,7 @@
         views = self._directory.engines_with(unit)
         return any(v.member.id != engine and not v.leaving for v in views)
 
-    def _answers(self, engine: str, unit: str) -> bool:
+    def _is_ready_on(self, engine: str, unit: str) -> bool:
         view = self._directory.engines().get(engine)
         return view is not None and not view.leaving and view.is_ready(unit)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/retirements.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/retirements.py
@@ -51,5 +51,5 @@
         return {
             unit
             for unit, (since, began_at) in self._retirements_by_unit.items()
-            if self._acks.all_done(self._engine, unit, since, now - began_at)
+            if self._acks.all_drained(self._engine, unit, since, now - began_at)
         }
--- a/packages/redwingscale-daemon/tests/unit/test_owners_stop.py
+++ b/packages/redwingscale-daemon/tests/unit/test_owners_stop.py
@@ -41,7 +41,7 @@
 @pytest.fixture
 def owners(ownership, monkeypatch):
     made = Owners(None, None, None, None, ownership, lambda engine: None)
-    monkeypatch.setattr(made, "_wanted", lambda: {_Engine.id})
+    monkeypatch.setattr(made, "_assigned_engines", lambda: {_Engine.id})
     monkeypatch.setattr(made, "_start", lambda engine: _Task(ownership.held).start())
     return made
 
--- a/packages/redwingscale-daemon/tests/unit/test_replacements.py
+++ b/packages/redwingscale-daemon/tests/unit/test_replacements.py
@@ -31,7 +31,9 @@
     replacements = Replacements(directory)
 
     ready = [replacements.are_ready(unit, plan) for unit in UNITS_BY_ENGINE["e1"]]
-    spare = [replacements.may_go_unreplaced(u, "e1", plan) for u in UNITS_BY_ENGINE["e1"]]
+    spare = [
+        replacements.may_unload_without_replacement(u, "e1", plan) for u in UNITS_BY_ENGINE["e1"]
+    ]
 
     assert ready == [False, False, False]
     assert spare == [False, True, True]
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/owner.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/owner.py
@@ -50,7 +50,7 @@
             current=cast(Any, SimpleNamespace(get=lambda: accepted)),
             ownership=self.ownership,
             intents=IntentStore(table),
-            acks=cast(Any, SimpleNamespace(all_done=lambda *_: True)),
+            acks=cast(Any, SimpleNamespace(all_drained=lambda *_: True)),
             metrics=cast(Any, SimpleNamespace(orders=_NoCounter(), invalid_reports=_NoCounter())),
             moves=MoveHistory(table),
             clock=clock,
