--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Planner, memory ledger and orders to engines."""
+"""The planner, and the owners that load and unload models on engines."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/assign.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/assign.py
@@ -1,4 +1,4 @@
-"""First and second replicas: every listed model somewhere, two domains where memory allows."""
+"""Places a first replica of every listed model, and a second in another failure domain."""
 
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class Assignment(NamedTuple):
-    """A layout, and what could not be placed once."""
+    """A layout, with a finding for each group that has no replica in it."""
 
     layout: Layout
     findings: list[Finding]
@@ -25,11 +25,11 @@
     previous_by_engine: Mapping[str, Collection[str]],
     load_by_key: Mapping[str, float],
 ) -> Assignment:
-    """Return the previous layout with the fewest changes that make it whole.
+    """Return the previous layout with as few changes as give every group its replicas.
 
-    All first replicas go before any second one, and take the room of spare
-    replicas where there is no other. What does not fit is left out by demand:
-    the least wanted models are the ones that are missing.
+    All first replicas are placed before any second one, and replace additional replicas
+    if there is no free memory. If not all groups fit, those with the least demand are
+    left out.
     """
     layout = _keep_previous(groups_by_key, rooms_by_engine, previous_by_engine)
     groups = _in_placement_order(groups_by_key, layout, load_by_key)
@@ -68,7 +68,7 @@
     capacity = sum(r.capacity_bytes for r in layout.rooms_by_engine.values() if r.is_open)
     groups = groups_by_key.values()
     if sum(g.size_bytes for g in groups) <= capacity:
-        # Everything fits once: large before small wastes the least memory.
+        # All groups fit once: placing large groups first wastes the least memory.
         return sorted(groups, key=lambda g: (-g.size_bytes, g.key))
     return sorted(groups, key=lambda g: (-load_by_key.get(g.key, 0.0), g.size_bytes, g.key))
 
@@ -104,7 +104,7 @@
 
 
 def _preference(layout: Layout, engine: str, group: Group) -> tuple[bool, bool, int, str]:
-    """Rank where it is already resident, then where it fits fits_beside_residents all that is."""
+    """Return a sort key: already resident, then fits beside all residents, then most free."""
     room = layout.rooms_by_engine[engine]
     resident_bytes = sum(r.size_bytes for r in room.residents)
     fits_beside_residents = room.capacity_bytes - resident_bytes >= group.size_bytes
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/backoff.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/backoff.py
@@ -1,4 +1,4 @@
-"""Waits between loads that fail, so that a broken unit does not wear the weight store."""
+"""Backoff between failed loads, so that a broken unit does not overload the weight store."""
 
 from typing import NamedTuple
 
@@ -14,14 +14,14 @@
 
 
 class Backoff:
-    """Doubles a unit's wait with each failure in a row."""
+    """Doubles the wait of a unit with each consecutive failure."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._waits_by_unit: dict[str, _Wait] = {}
 
     def note(self, unit: str, *, failed: bool) -> None:
-        """Take note of how an order on ``unit`` ended."""
+        """Record whether an order on ``unit`` failed; a success resets the wait."""
         if not failed:
             self._waits_by_unit.pop(unit, None)
             return
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/balance.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/balance.py
@@ -1,17 +1,19 @@
-"""A fluid estimate of how the demand spreads over the engines of a layout."""
+"""Estimates how demand is distributed over the engines of a layout."""
 
 from collections.abc import Collection
 from typing import NamedTuple
 
 from redwingscale_daemon._internal.placement.layout import Layout
 
+# Up to this load per slot, all requests are expected to finish on time.
 KNEE_UTILISATION = 0.85
+# Beyond this load per slot, no additional request is expected to finish on time.
 OVERLOAD_UTILISATION = 1.15
 SPREAD_ITERATIONS = 4
 
 
 class Change(NamedTuple):
-    """A replica of ``key`` that is added to or taken from ``engine``."""
+    """A replica of the group ``key`` that is added to or removed from ``engine``."""
 
     engine: str
     key: str
@@ -19,10 +21,10 @@
 
 
 class Balance:
-    """Work in progress (requests at once) by engine, with each group's replica_load in it.
+    """Load (concurrent requests) by engine, and by group and engine.
 
-    Each group's work is spread over its replicas so that the fullest of them is
-    as empty as can be: what a load-aware router comes near to.
+    The load of each group is distributed over its replicas so that the highest
+    utilisation among them is minimal, which a load-aware router approximates.
     """
 
     def __init__(self, layout: Layout, load_by_key: dict[str, float]) -> None:
@@ -38,11 +40,11 @@
         self._rebalance(sorted(self.replica_loads_by_key, key=lambda k: -load_by_key[k]))
 
     def utilisation(self, engine: str) -> float:
-        """Return work per slot."""
+        """Return the load per slot."""
         return self.load_by_engine[engine] / self._slots[engine]
 
     def gain(self, changes: Collection[Change]) -> float:
-        """Return by how much the work on time rises with ``changes``; nothing is changed."""
+        """Return how much more load is on time after ``changes``, without applying them."""
         replica_loads, engine_loads = self.replica_loads_by_key, self.load_by_engine
         self.replica_loads_by_key, self.load_by_engine = dict(replica_loads), dict(engine_loads)
         touched = self.apply(changes)
@@ -55,21 +57,21 @@
         return gained
 
     def apply(self, changes: Collection[Change]) -> set[str]:
-        """Make ``changes``, spread the work of the groups around them anew.
+        """Apply ``changes`` and redistribute the load of all groups on their engines.
 
-        Returns the engines whose work may have changed.
+        Returns the engines whose load may have changed.
         """
         engines = {change.engine for change in changes}
         keys = {key for e in engines for key in self._layout.groups_by_engine[e]}
         keys |= {change.key for change in changes}
-        around = sorted(
+        affected = sorted(
             keys & self.replica_loads_by_key.keys(), key=lambda k: -self._load_by_key[k]
         )
         for change in changes:
             if change.key in self.replica_loads_by_key:
                 self._change(change)
-        self._rebalance(around)
-        return engines | {e for key in around for e in self.replica_loads_by_key[key]}
+        self._rebalance(affected)
+        return engines | {e for key in affected for e in self.replica_loads_by_key[key]}
 
     def _change(self, change: Change) -> None:
         replica_loads = dict(self.replica_loads_by_key[change.key])
@@ -85,7 +87,7 @@
                 self._spread(key)
 
     def _spread(self, key: str) -> None:
-        """Fill the emptiest replicas first, all else as it is."""
+        """Distribute the load of group ``key``, least utilised replicas first."""
         replica_loads, engine_loads, slots = (
             self.replica_loads_by_key[key],
             self.load_by_engine,
@@ -103,7 +105,10 @@
 
 
 def _fill_level(others: list[tuple[float, str]], slots: dict[str, int], work: float) -> float:
-    """Return how full per slot the replicas get that ``work`` is poured into."""
+    """Return the load per slot of the replicas that get some of ``work``.
+
+    ``others`` are the engines by their load per slot from other groups, in ascending order.
+    """
     width, volume, level = 0, work, 0.0
     for index, (height, engine) in enumerate(others):
         width += slots[engine]
@@ -115,6 +120,6 @@
 
 
 def _on_time_load(load: float, slots: int) -> float:
-    """Return the replica_load of ``load`` that is on time: all up to the knee, then half of it."""
+    """Return how much of ``load`` is on time: all up to the knee, half from there to overload."""
     knee, top = KNEE_UTILISATION * slots, OVERLOAD_UTILISATION * slots
     return min(load, knee) + (min(load, top) - knee) / 2 if load > knee else load
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/choice.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/choice.py
@@ -1,4 +1,4 @@
-"""Which loads and unloads bring an engine towards its part of the plan."""
+"""Selects the loads and unloads that bring an engine to its planned units."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -11,9 +11,9 @@
 
 
 class Situation(NamedTuple):
-    """An engine as its owner sees it.
+    """The state of an engine as known to its owner.
 
-    ``limit_bytes`` is what weights may take: the capacity less the share of
+    ``limit_bytes`` is the memory for weights: the capacity without the share of
     the running requests' cache.
     """
 
@@ -24,10 +24,10 @@
 
 
 def units_to_load(situation: Situation, retiring: Iterable[str]) -> Iterator[PlannedUnit]:
-    """Yield planned units that fit beside everything that may be resident.
+    """Yield the planned units that fit beside everything that may be resident.
 
-    An adapter goes out only when its base answers requests. What does not fit
-    is passed over: smaller units need not wait for an unload.
+    An adapter is loaded only after its base is ready. A unit that does not fit is
+    skipped, so that smaller units need not wait for an unload.
     """
     reserved = situation.ledger.reserved_by_unit(situation.report)
     bases = {r.unit for r in situation.report.residents if r.ready}.difference(retiring)
@@ -42,14 +42,14 @@
 
 
 def is_short_of_memory(situation: Situation) -> bool:
-    """Return whether a planned unit waits for memory."""
+    """Return whether there is too little memory for all planned units that are missing."""
     reserved = situation.ledger.reserved_by_unit(situation.report)
     missing = [p.size_bytes for p in situation.planned if p.unit not in reserved]
     return sum(reserved.values()) + sum(missing) > situation.limit_bytes and bool(missing)
 
 
 def unplanned_units(situation: Situation) -> list[ResidentUnit]:
-    """Return the units that are ready, not in the plan, and not under an order."""
+    """Return the units that are ready, neither planned nor needed as a base, without open order."""
     planned = {p.unit for p in situation.planned}
     kept = planned | {base_of(unit) for unit in planned}
     return [
@@ -60,12 +60,12 @@
 
 
 def units_to_unload(situation: Situation, drained: set[str]) -> list[ResidentUnit]:
-    """Return the drained units that may go now: a base only after its adapters."""
+    """Return the drained units that may be unloaded: a base only after its adapters."""
     reserved = situation.ledger.reserved_by_unit(situation.report)
     needed = {base_of(unit) for unit in reserved if base_of(unit) != unit}
     return [r for r in unplanned_units(situation) if r.unit in drained and r.unit not in needed]
 
 
 def base_of(unit: str) -> str:
-    """Return the model version that ``unit`` needs, or is."""
+    """Return the model version that ``unit`` is, or is an adapter of."""
     return str(Unit.parse(unit).base)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/demand.py
@@ -1,4 +1,4 @@
-"""Demand for models: counted here, published to all, summed by the planner."""
+"""Demand for models: counted at each instance, gossiped, and summed by the planner."""
 
 import math
 import threading
@@ -17,7 +17,7 @@
 KEY = "table"
 HALF_LIFE_SECONDS = 60.0
 MIN_REQUESTS_PER_SECOND = 1 / 64
-"""Requests a second that exponent 0 stands for; slower demand is not published."""
+"""The rate of exponent 0; a rate below half of it is not published."""
 STEPS_PER_DOUBLING = 2
 MAX_PUBLISHED_MODELS = 32
 MAX_REPORTERS = 24
@@ -32,11 +32,12 @@
 
 
 class DemandTracker:
-    """Counts arrivals at this instance and tells the others of the largest rates.
+    """Counts arrivals at this instance and publishes the highest rates.
 
-    What this costs is bounded: only `MAX_REPORTERS` instances tell, at most 32
-    models of 860, in half powers of two, not more often than every 30 s; the planner
-    scales the sum up, as the balancer spreads callers over all instances alike.
+    The cost is bounded: at most `MAX_REPORTERS` instances publish, each at most 32
+    models (a deployment may have 860), in half powers of two, and in a larger deployment
+    at most every 30 s. The planner scales the sum up, since the load balancer spreads
+    callers evenly over all instances.
     """
 
     def __init__(
@@ -53,12 +54,12 @@
         self._published_at = float("-inf")
 
     def arrived(self, model: str) -> None:
-        """Count one request for ``model``, refused ones too: they are demand."""
+        """Count a request for ``model``; refused requests count too, since they are demand."""
         with self._lock:
             self._arrivals[model] += 1
 
     def step(self, now: float) -> None:
-        """Bring the rates up to ``now`` and tell them if they have changed enough."""
+        """Update the rates as of ``now`` and publish them if their table has changed."""
         self._update(now)
         instances = {*self._instances(), self._instance}
         reporters = rendezvous_order(TOPIC, instances)[:MAX_REPORTERS]
@@ -95,7 +96,7 @@
 
 
 class DemandTotals:
-    """The sum of what all instances tell, by model number."""
+    """The sum of the published demand of all instances, by model number."""
 
     def __init__(self, gossip: GossipState, instances: Callable[[], Iterable[str]]) -> None:
         self._tables_by_origin: dict[str, DemandTable] = {}
@@ -103,7 +104,7 @@
         gossip.subscribe(TOPIC, self._on_entry)
 
     def rates_by_number(self) -> dict[int, float]:
-        """Return requests a second; instances that are gone or tell nothing are scaled for."""
+        """Return requests per second, scaled up from the reporters to all live instances."""
         live = set(self._instances())
         tables = [t for origin, t in list(self._tables_by_origin.items()) if origin in live]
         reporters = min(len(live), MAX_REPORTERS)
@@ -121,7 +122,11 @@
 
 
 def _exponent(rate: float, published: int | None) -> int | None:
-    """Return the half power of two nearest to ``rate``; the one published unless it is 30% off."""
+    """Return the half power of two nearest to ``rate``.
+
+    It stays as ``published`` until ``rate`` is about 30% off, so that small changes
+    are not published.
+    """
     if rate < MIN_REQUESTS_PER_SECOND / 2:
         return None
     exact = STEPS_PER_DOUBLING * math.log2(rate / MIN_REQUESTS_PER_SECOND)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/digest_filter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/digest_filter.py
@@ -1,21 +1,22 @@
-"""Which digests are worth telling: those that change what an instance would do."""
+"""Selects the digests to publish: those that change how an instance routes."""
 
 from collections.abc import Callable
 
 from redwingscale_daemon._internal.models.report import Digest
 
-# Shorter than the time after which the planner takes an engine for quiet.
+# Less than the time after which the planner takes an engine for silent.
 REFRESH_SECONDS = 4.0
+# A load change is published from this fraction of the slots on: one eighth.
 LOAD_STEPS_PER_BATCH = 8
 
 
 class DigestFilter:
-    """Compares a digest with the last one told about the same engine.
+    """Compares a digest with the last one published for the same engine.
 
-    A digest for every poll would cost each instance some 280 bytes for every
-    engine of the deployment each second. What decides (residents, leaving, the
-    fence, what retires) is told at once; load when it has moved by an eighth of
-    the slots; the rest waits for the refresh that shows that the owner lives.
+    A digest for every poll would cost each instance about 280 bytes per second for
+    every engine of the deployment. Residents, leaving, the fence and retiring units are
+    published at once, the load when it has changed by an eighth of the slots. Anything
+    else is published with the next refresh, which also shows that the owner is alive.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -24,7 +25,7 @@
         self._published_at = float("-inf")
 
     def admit(self, digest: Digest) -> bool:
-        """Return whether ``digest`` is to be told; if so it counts as told."""
+        """Return whether to publish ``digest``; if so, record it as published."""
         now = self._clock()
         if not self._is_significant(digest) and now - self._published_at < REFRESH_SECONDS:
             return False
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_ack.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_ack.py
@@ -1,4 +1,4 @@
-"""What an instance tells the owner of an engine about units that retire."""
+"""Acknowledges to the owner of an engine that retiring units are drained."""
 
 from typing import NamedTuple
 
@@ -7,14 +7,14 @@
 
 
 class RetirementMark(NamedTuple):
-    """A state of an engine's retiring units; later states compare higher."""
+    """Version of the set of retiring units of an engine; later ones compare higher."""
 
     fence: int
     retirement: int
 
 
 class DrainAck(NamedTuple):
-    """The sender has seen ``mark``, routes nothing to ``units`` and runs nothing there."""
+    """The sender has seen ``mark``; it routes nothing to ``units`` and has no request there."""
 
     upstream: str
     mark: RetirementMark
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_acks.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_acks.py
@@ -1,4 +1,4 @@
-"""The instances' words on retiring units, as this instance has heard them."""
+"""The drain acknowledgements that this instance has received."""
 
 import msgspec
 
@@ -8,13 +8,13 @@
 from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 from redwingscale_daemon._internal.placement.drain_ack import TOPIC, DrainAck, RetirementMark
 
-# An instance that is alive but not linked is heard through others within seconds; one
-# that has said nothing for this many leases is cut off or dead.
+# Heartbeats of an instance that is alive but not linked are relayed within seconds; an
+# instance that is silent for this many leases is partitioned or has crashed.
 SILENT_LEASES = 2
 
 
 class DrainAcks:
-    """Newest `DrainAck` by instance and engine."""
+    """The newest `DrainAck` by instance and engine."""
 
     def __init__(
         self,
@@ -32,10 +32,10 @@
         gossip.subscribe(TOPIC, self._on_entry)
 
     def all_drained(self, engine: str, unit: str, since: RetirementMark, waited: float) -> bool:
-        """Return whether no instance routes to or runs ``unit`` on ``engine`` any more.
+        """Return whether no instance routes to ``unit`` on ``engine`` or has a request there.
 
-        ``since`` is the mark with which ``unit`` began to retire, ``waited``
-        seconds ago.
+        ``since`` is the mark at which ``unit`` began to retire, ``waited`` seconds ago.
+        A silent instance no longer counts after `SILENT_LEASES` leases.
         """
         instances = {self._instance, *(m.id for m in self._members.instances())}
         return all(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_reporter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_reporter.py
@@ -1,4 +1,4 @@
-"""Tells owners when this instance is done with units that retire."""
+"""Reports to owners when this instance has drained retiring units."""
 
 import time
 from collections.abc import Callable
@@ -11,10 +11,10 @@
 from redwingscale_daemon._internal.upstreams.directory import Directory
 from redwingscale_daemon._internal.upstreams.in_flight import InFlight
 
-# How often `DrainReporter.step` should run: every unload waits for it.
+# Interval at which `DrainReporter.step` should run; every unload waits for it.
 STEP_SECONDS = 0.2
-# A request may have chosen its engine just before the retirement was seen of, and
-# be counted as in flight only after it.
+# A request may have chosen its engine just before the retirement was received, and be
+# counted as in flight only after that.
 SETTLE_SECONDS = 0.2
 
 
@@ -26,8 +26,8 @@
 class DrainReporter:
     """Publishes a `DrainAck` for each engine with retiring units, all in one entry.
 
-    One entry for each instance, whatever the number of engines: it stays on
-    every board, and goes out with every full cycle.
+    There is one entry per instance whatever the number of engines, since each entry
+    stays in the gossip state of all instances and is sent again in every full cycle.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         gossip.subscribe(DIGEST_TOPIC, lambda entry: self._changed.add(entry.key))
 
     def step(self) -> None:
-        """Look at the engines that retire units, and at those with news."""
+        """Check the engines with retiring units and those with a new digest."""
         changed = [self._changed.pop() for _ in range(len(self._changed))]
         digests = [self._digest(engine) for engine in sorted({*changed, *self._seen_by_engine})]
         acks = [self._ack(digest) for digest in digests if digest and digest.retiring]
@@ -64,7 +64,7 @@
         engine = digest.upstream
         mark = RetirementMark(digest.fence, digest.retirement)
         seen = self._seen_by_engine.get(engine)
-        # Any new mark begins anew: between two looks a unit may have been kept, used
+        # A new mark restarts the wait: between two checks a unit may have been kept, used
         # and retired again.
         if seen is None or seen.mark != mark:
             seen = _SeenMark(mark, self._clock())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_room.py
@@ -1,4 +1,4 @@
-"""An engine as the planner sees it."""
+"""The state of an engine as known to the planner."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -7,12 +7,12 @@
 
 
 class Availability(Enum):
-    """What the planner may count on at an engine.
+    """How the planner may use an engine.
 
-    ``OPEN``: heard of, takes more. ``SILENT``: quiet for a short time, perhaps a
-    restart; counts as a replica, takes nothing. ``PARTITIONED``: its whole failure domain
-    is quiet; it likely serves its own side, so it keeps what it has, but this
-    side needs a replica of its own.
+    ``OPEN``: reports and takes new units. ``SILENT``: has not reported for a short time,
+    perhaps a restart; its replicas count, but it takes no new units. ``PARTITIONED``: its
+    whole failure domain is silent. It likely serves its own side of a network partition,
+    so it keeps its units, but this side needs replicas of its own.
     """
 
     OPEN = "open"
@@ -21,7 +21,11 @@
 
 
 class EngineRoom(NamedTuple):
-    """An engine; ``capacity_bytes`` excludes the cache's share, ``slots`` bounds its batch."""
+    """Memory, batch size and residents of an engine.
+
+    ``capacity_bytes`` excludes the share of the cache; ``slots`` is the most requests that
+    the engine runs at once.
+    """
 
     engine: str
     failure_domain: str
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_watch.py
@@ -1,4 +1,4 @@
-"""Which engines the planner may count on, and for how long after they went silent_seconds."""
+"""Decides which engines the planner may use, and for how long after their last report."""
 
 from collections.abc import Mapping
 
@@ -12,15 +12,15 @@
 RESUME_GAP_SECONDS = 10.0
 SETTLE_SECONDS = 5.0
 UNKNOWN_CAPACITY = 1 << 62
-"""Of an engine that this planner never reporting_domains of: it keeps its part and gets nothing more."""
+"""For an engine without a digest so far: it keeps its planned units and gets no others."""
 
 
 class EngineWatch:
-    """Counts silence only while this planner could have reporting_domains.
+    """Tracks for how long engines are silent, counted only while this planner is running.
 
-    After an outage of the platform every digest is old, because no owner held
-    its lease. A planner that took this for the loss of all engines would place
-    everything anew; so silence counts from when it began to listen again.
+    After an outage of the platform every digest is old, because no owner held its lease.
+    A planner that took this for the loss of all engines would place all groups again, so
+    silence is counted from when its steps resumed.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
     def rooms(
         self, views_by_engine: Mapping[str, EngineView], cache_share: float, now: float
     ) -> dict[str, EngineRoom]:
-        """Return the engines that keep their part in the plan; the others are lost."""
+        """Return the engines that stay in the plan; the others are leaving or lost."""
         if now - self._last_step_at > RESUME_GAP_SECONDS:
             self._listening_since = now
         self._last_step_at = now
@@ -40,17 +40,17 @@
         return {room.engine: room for room in rooms if room is not None}
 
     def is_settling(self, views_by_engine: Mapping[str, EngineView], now: float) -> bool:
-        """Return whether engines may still report for the first time.
+        """Return whether some engines are still expected to report for the first time.
 
-        A first plan made for the few engines that were quickest would fill them up.
+        A first plan made only for the first engines to report would fill them up.
         """
         unreported = any(v.digest is None and not v.leaving for v in views_by_engine.values())
         return unreported and now - self._listening_since < SETTLE_SECONDS
 
     def _is_reporting(self, view: EngineView, now: float) -> bool:
-        """Return whether the engine told something sound lately."""
-        sound = view.digest is not None and not view.digest.set_aside
-        return sound and self._silent_seconds(view, now) <= SILENT_SECONDS
+        """Return whether the engine has sent a valid report lately."""
+        valid = view.digest is not None and not view.digest.set_aside
+        return valid and self._silent_seconds(view, now) <= SILENT_SECONDS
 
     def _silent_seconds(self, view: EngineView, now: float) -> float:
         return now - max(view.seen_at, self._listening_since)
@@ -81,9 +81,9 @@
 
 
 def _planning_residents(digest: Digest) -> tuple[ResidentUnit, ...]:
-    """Return the residents; one that its owner is retiring counts as not ready.
+    """Return the residents, with retiring ones as not ready.
 
-    It takes memory until it is gone, but nothing may rely on its answers.
+    A retiring unit takes memory until it is unloaded, but does not count as a replica.
     """
     retiring = set(digest.retiring)
     return tuple(r._replace(ready=r.ready and r.unit not in retiring) for r in digest.residents)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/group.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/group.py
@@ -1,4 +1,4 @@
-"""What is placed as one: a model version with all its adapters."""
+"""A group of units that are placed together: a model version with all its adapters."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,10 @@
 
 
 class Group(NamedTuple):
-    """``units`` begins with the model version itself, whose text is ``key``."""
+    """A model version with its adapters.
+
+    ``key`` is the text of the model version, the first of ``units``.
+    """
 
     key: str
     model: str
@@ -17,7 +20,7 @@
 
 
 def all_groups(configuration: Configuration) -> dict[str, Group]:
-    """Return the groups of every listed version, by key."""
+    """Return the groups of all listed versions by key."""
     groups = [
         _group(model, version)
         for model in configuration.models_by_name.values()
@@ -27,7 +30,7 @@
 
 
 def serving_keys(configuration: Configuration) -> set[str]:
-    """Return the keys of the versions that answer callers."""
+    """Return the keys of the versions that serve callers."""
     return {str(Unit(m.name, m.serving)) for m in configuration.models_by_name.values()}
 
 
