--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/growth.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/growth.py
@@ -1,4 +1,4 @@
-"""Further replicas follow demand, if what they gain is worth the moves."""
+"""Adds and moves replicas to follow demand, if the gain is worth the moves."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from itertools import islice, product
@@ -20,29 +20,29 @@
 
 
 class Step(NamedTuple):
-    """Changes that go together, and the loads and unloads that they cost."""
+    """Changes that are applied together; ``moves`` is how many loads and unloads they take."""
 
     changes: tuple[Change, ...]
     moves: int
 
 
 class MoveWorth(NamedTuple):
-    """What moves are weighed with: price in requests, and a request's time at an engine."""
+    """Weighs gains against moves: the price of a move in requests, and a request's duration."""
 
     move_price: float
     service_seconds: float
 
     @classmethod
     def from_moves_weight(cls, moves_weight: float, service_seconds: float) -> "MoveWorth":
-        """Return the price that the operators' ``moves_weight`` sets; 1 forbids moves."""
+        """Return the worth for the configured ``moves_weight``; 1 forbids moves."""
         if moves_weight >= 1.0:
             return cls(float("inf"), service_seconds)
         return cls(REQUESTS_PER_MOVE * moves_weight / (1.0 - moves_weight), service_seconds)
 
     def surplus(self, gained_work: float, moves: int) -> float:
-        """Return the requests gained_requests over half an hour, less the price of the moves."""
+        """Return the requests gained within `HORIZON_SECONDS`, less the price of the moves."""
         gained_requests = gained_work / self.service_seconds * HORIZON_SECONDS
-        # One request a move even when moves are free: rounding must not cause any.
+        # At least one request per move: rounding errors must not cause moves that are free.
         return gained_requests - moves * max(1.0, self.move_price)
 
 
@@ -52,7 +52,7 @@
     load_by_key: dict[str, float],
     worth: MoveWorth,
 ) -> list[Step]:
-    """Change ``layout`` step by step while a step is worth its moves; return the steps."""
+    """Apply the best step to ``layout`` while one is worth its moves; return the steps."""
     balance = Balance(layout, load_by_key)
     taken: list[Step] = []
     while len(taken) < MAX_STEPS:
@@ -88,7 +88,7 @@
 def _candidates(
     layout: Layout, groups_by_key: Mapping[str, Group], balance: Balance
 ) -> Iterator[Step]:
-    """Yield what may relieve the fullest engines."""
+    """Yield the steps that may take load off the most utilised engines."""
     rooms = layout.rooms_by_engine
     order = sorted((e for e in rooms if rooms[e].is_open), key=balance.utilisation)
     hot = [e for e in reversed(order[-HOT_ENGINES:]) if balance.utilisation(e) > KNEE_UTILISATION]
@@ -129,7 +129,7 @@
 def _exchange(
     layout: Layout, group: Group, cold: Group, source: str, target: str
 ) -> Iterator[Step]:
-    """Yield the step in which ``group`` and ``cold`` change places."""
+    """Yield the step that exchanges ``group`` and ``cold``, if allowed."""
     fits = layout.free_bytes(source) + group.size_bytes >= cold.size_bytes
     if (
         fits
@@ -149,7 +149,7 @@
 def _move_on(
     layout: Layout, group: Group, cold: Group, target: str, order: Sequence[str]
 ) -> Iterator[Step]:
-    """Yield the step in which ``cold`` moves to a third engine to let ``group`` in."""
+    """Yield the step that moves ``cold`` to a third engine to make room for ``group``."""
     destinations = (
         e
         for e in order[:MAX_DESTINATIONS_TRIED]
@@ -175,7 +175,7 @@
 
 
 def _may_move(layout: Layout, group: Group, source: str, target: str) -> bool:
-    """Return whether the move keeps two failure domains, and a replica to serve meanwhile."""
+    """Return whether two failure domains remain, and another replica to serve during the move."""
     domains = layout.domains(group.key, without=source)
     moved = domains | {layout.rooms_by_engine[target].failure_domain}
     return len(layout.replicas(group.key)) > 1 and len(moved) > 1
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/hand_over.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/hand_over.py
@@ -1,4 +1,4 @@
-"""What an engine keeps beyond its target, until its substitute is ready."""
+"""Keeps units that are no longer in the target until their substitutes are ready."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -13,12 +13,13 @@
 
 
 class HandOver:
-    """Decides, engine by engine, what is listed before new loads are let through.
+    """Decides which units each engine keeps, before new loads are added to the plan.
 
-    Make before break: a group that is resident but no longer wanted stays until
-    its model is ready on required of the engines where it is wanted. It goes
-    earlier only if its room is needed and another ready copy of its model
-    remains. ``groups_by_key`` has every listed version; what it lacks goes at once.
+    Make before break: a group that is resident but no longer in the target stays until
+    its model is ready on `REQUIRED_SUBSTITUTES` of the engines that have it in their
+    target, or on all if they are fewer. It is unloaded earlier only if its memory is
+    needed and another ready copy of its model remains. ``groups_by_key`` has every listed
+    version; a resident that is not in it is unloaded at once.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
     def listed(
         self, released_by_engine: Mapping[str, Iterable[PlannedUnit]]
     ) -> dict[str, dict[str, PlannedUnit]]:
-        """Return the units by engine; ``released_by_engine`` is the last plan's."""
+        """Return the units by engine; ``released_by_engine`` is from the last plan."""
         return {
             engine: self._listed_here(room, {p.unit: p for p in released_by_engine.get(engine, ())})
             for engine, room in self._rooms_by_engine.items()
@@ -51,8 +52,8 @@
         self, room: EngineRoom, released: dict[str, PlannedUnit]
     ) -> dict[str, PlannedUnit]:
         if not room.is_open:
-            # What answers there is not known now. Its owner may be well, and would
-            # unload the only copy of a model if this plan did not list it.
+            # Which units are ready there is unknown. The engine's owner may be alive, and
+            # would unload the only copy of a model if this plan did not list it.
             return released
         return self._wanted_here(room, set(released)) | self._kept_here(room)
 
@@ -81,12 +82,12 @@
         replaced = 0 < required <= self._ready_wanted[group.model]
         if not replaced and not (others > 0 and self._lacks_memory(room)):
             return False
-        # Counted out at once, so that two engines never both give up the last two copies.
+        # Subtracted at once, so that two engines never both unload the last two copies.
         self._ready_copies[group.model] -= is_ready
         return True
 
     def _ready(self, room: EngineRoom) -> set[str]:
-        """Return the keys of the groups that answer here with all their adapters."""
+        """Return the keys of the groups that are ready with all their adapters."""
         if not room.is_open:
             return set()
         units = {r.unit for r in room.residents if r.ready}
@@ -94,7 +95,7 @@
         return {g.key for g in groups if all(p.unit in units for p in g.units)}
 
     def _lacks_memory(self, room: EngineRoom) -> bool:
-        """Return whether what is wanted does not fit beside what is resident."""
+        """Return whether the target does not fit beside the residents."""
         groups = self._target[room.engine].values()
         sizes = {r.unit: r.size_bytes for r in room.residents}
         sizes |= {p.unit: p.size_bytes for group in groups for p in group.units}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/intents.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/intents.py
@@ -1,4 +1,4 @@
-"""Intents: the orders that an owner is about to send, in the platform's table."""
+"""Intents: orders written to the platform's table before they are sent."""
 
 from typing import Any, NamedTuple
 
@@ -19,27 +19,30 @@
 
 
 class Intent(NamedTuple):
-    """An order that may have gone out to the engine process at ``url``."""
+    """An order that may have been sent to the engine process at ``url``."""
 
     order: Order
     url: str
 
 
 class Intents(NamedTuple):
-    """A row of intents as read; ``version`` is for the next write."""
+    """A row of intents; ``version`` is the row version that the next write expects."""
 
     version: int
     intents: list[Intent]
 
 
 class IntentStore:
-    """Reads and replaces the intents of one engine; a row holds its open orders."""
+    """Reads and replaces the intents of engines; one row has all open orders of an engine."""
 
     def __init__(self, table: Table) -> None:
         self._table = table
 
     def read(self, engine: str) -> Intents:
-        """Return the intents; raise `PlatformUnavailable`."""
+        """Return the intents of ``engine``.
+
+        Raises `PlatformUnavailable` if the table does not answer.
+        """
         key = INTENTS_PREFIX + engine
         row = self._table.read([key])[key]
         if row is None:
@@ -47,11 +50,11 @@
         return Intents(row.version, msgspec.convert(row.value, list[Intent]))
 
     def write(self, engine: str, orders: list[OpenOrder], version: int, owner: Check) -> int | None:
-        """Replace the intents if the row has ``version`` and ``owner`` holds.
+        """Replace the intents if the row has ``version`` and the check ``owner`` passes.
 
-        Returns the row's new version, None when another has written the row
-        or has taken the engine over. So whoever takes over reads, after its
-        takeover, every intent that was ever followed by an order.
+        Returns the new version of the row, or None if another instance has written the
+        row or taken the engine over. So a new owner that reads the row after its takeover
+        sees the intent of every order that was sent.
         """
         key = INTENTS_PREFIX + engine
         value: Any = msgspec.to_builtins([Intent(o.order, o.url) for o in orders])
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/ledger.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/ledger.py
@@ -1,4 +1,4 @@
-"""The memory ledger of one engine: everything that may be resident."""
+"""The memory ledger of one engine: all units that may be resident."""
 
 from collections.abc import Iterable
 
@@ -10,11 +10,10 @@
 
 
 class Ledger:
-    """Open orders by id; each keeps its unit's memory reserved until it is certain.
+    """Open orders by id; each reserves memory for its unit until its outcome is certain.
 
-    A unit has at most one open order. So a load that arrives late never meets
-    the memory taken by something else, and a late unload never meets its unit
-    loaded anew.
+    A unit has at most one open order. So the memory for a late load is never taken by
+    another unit, and a late unload never removes a unit that was loaded again.
     """
 
     def __init__(self) -> None:
@@ -22,20 +21,20 @@
         self._done_but_absent: set[str] = set()
 
     def open_orders(self) -> list[OpenOrder]:
-        """Return what may still take effect."""
+        """Return the orders that may still take effect."""
         return list(self._open_by_id.values())
 
     def add(self, orders: Iterable[OpenOrder]) -> None:
-        """Reserve for ``orders``; a known one keeps its own time."""
+        """Reserve memory for ``orders``; those already open stay unchanged."""
         for opened in orders:
             self._open_by_id.setdefault(opened.order.order_id, opened)
 
     def set_sent(self, order_id: str, at: float) -> None:
-        """Count the lateness of an order from ``at``."""
+        """Set the time from which the lateness of an order is counted."""
         self._open_by_id[order_id] = self._open_by_id[order_id]._replace(sent_by=at)
 
     def drop(self, order_id: str) -> None:
-        """Forget an order that certainly did not go out."""
+        """Remove an order that is closed or was certainly not sent."""
         self._open_by_id.pop(order_id, None)
 
     def is_open(self, unit: str) -> bool:
@@ -43,26 +42,27 @@
         return any(o.order.unit == unit for o in self._open_by_id.values())
 
     def unloading(self) -> set[str]:
-        """Return the units that are being unloaded, or may be."""
+        """Return the units with an open unload order."""
         return {o.order.unit for o in self._open_by_id.values() if not o.order.load}
 
     def reserved_by_unit(self, report: Report) -> dict[str, int]:
-        """Return the bytes of every unit that is, or may be, in memory."""
+        """Return the size of every unit that is or may be in memory."""
         reserved = {r.unit: r.size_bytes for r in report.residents}
         for order, _, _ in self._open_by_id.values():
             reserved[order.unit] = max(order.size_bytes, reserved.get(order.unit, 0))
         return reserved
 
     def settle(self, engine: EngineMember, report: Report, polled_at: float) -> list[ClosedOrder]:
-        """Close and return the orders on which ``report`` is certain.
+        """Close and return the orders whose outcome is certain from ``report``.
 
         ``polled_at`` is when the poll was sent, on the clock of ``sent_by``.
         """
         outcomes = [(o.order, _outcome(engine, report, polled_at, o)) for o in self.open_orders()]
         ended = [ClosedOrder(order, outcome) for order, outcome in outcomes if outcome]
         done_but_absent = {e.order.order_id for e in ended if _is_done_but_absent(e, report)}
-        # A load that is done, of a unit that is not there: gone again, or the engine read
-        # its memory before its orders. The next report cannot be torn at the same place.
+        # The load is done, but its unit is not resident: it was unloaded since, or the engine
+        # read its residents before its orders. The second report in a row decides, as it
+        # cannot be inconsistent in the same place.
         closed = [
             e for e in ended if e.order.order_id not in done_but_absent - self._done_but_absent
         ]
@@ -78,7 +78,7 @@
     order = opened.order
     resident = any(r.unit == order.unit for r in report.residents)
     if opened.url != engine.url:
-        # The process that was told is gone, and so is all it was told.
+        # The process that received the order is gone, and its orders with it.
         return Outcome.VOID
     match report.orders.get(order.order_id):
         case "running":
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/load_gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/load_gate.py
@@ -1,4 +1,4 @@
-"""The gate of the weight store: the plan lists a load only when it may start."""
+"""Limits loads from the weight store: the plan lists a load only when it may start."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 
 class PendingLoad(NamedTuple):
-    """A load that waits: ``copy`` counts the replicas that are ahead of it."""
+    """A load that waits; ``copy`` is how many replicas of the unit come before it."""
 
     copy: int
     is_adapter: bool
@@ -24,12 +24,12 @@
 
 
 class LoadGate:
-    """Lets loads through at the store's rate, so many at once over the deployment.
+    """Limits the rate of loads and the concurrent loads of the whole deployment.
 
-    Owners load whatever the plan lists, so the plan itself is the gate and the
-    planner's lease its lock; nothing else has to be agreed. A new planner counts
-    what the last plan let through and is not ready yet, so the bound of loads at
-    once holds over a takeover too.
+    Owners load whatever the plan lists, so the plan itself is the gate and the lease of
+    the planner its lock; instances need no further agreement. A new planner counts the
+    units of the last plan that are not ready yet, so the limit of concurrent loads
+    applies across a takeover as well.
     """
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         store: WeightStore,
         now: float,
     ) -> int:
-        """Add the loads that may start now to ``listed_by_engine``; return how many wait."""
+        """Add the loads that may start now to ``listed_by_engine``; return how many still wait."""
         self._refill(store, now)
         running = self._running(listed_by_engine, rooms_by_engine, now)
         waiting = _pending_loads(listed_by_engine, target_by_engine, rooms_by_engine, load_by_key)
@@ -70,10 +70,10 @@
         rooms_by_engine: Mapping[str, EngineRoom],
         now: float,
     ) -> int:
-        """Return how many loads are under way, those that take too long left out.
+        """Return how many loads are running, without those that exceed the timeout.
 
-        An engine that takes loads and never ends one would otherwise fill the
-        gate, and no other engine would load anything again.
+        Otherwise an engine that starts loads and never finishes them would use up the
+        limit, and no other engine would load anything again.
         """
         started_at, self._started_at = self._started_at, {}
         for engine, units in listed_by_engine.items():
@@ -85,7 +85,7 @@
     def _refill(self, store: WeightStore, now: float) -> None:
         elapsed = 0.0 if self._refilled_at is None else now - self._refilled_at
         self._refilled_at = now
-        # What was saved up is one load at most; the time of this interval counts whole.
+        # At most one unused token carries over; all tokens of this interval are added.
         saved = min(self._tokens, 1.0)
         self._tokens = min(saved + elapsed * store.loads_per_second, store.concurrent_loads)
 
@@ -96,7 +96,7 @@
     rooms_by_engine: Mapping[str, EngineRoom],
     load_by_key: Mapping[str, float],
 ) -> list[PendingLoad]:
-    """Return first replicas by demand, their adapters, second replicas, and so on."""
+    """Return the loads in order: first replicas by demand, their adapters, second replicas, ..."""
     copies = Counter(unit for units in listed_by_engine.values() for unit in units)
     waiting = []
     for engine, groups in target_by_engine.items():
@@ -107,7 +107,7 @@
         for group in groups.values():
             for planned in group.units:
                 is_adapter = planned.unit != group.key
-                # An adapter needs its base: until then its load would hold a place for nothing.
+                # An adapter needs its base: until then its load would only use up the limit.
                 if planned.unit in listed or (is_adapter and group.key not in ready):
                     continue
                 load = load_by_key.get(group.key, 0.0)
@@ -121,7 +121,7 @@
 
 
 def _free_bytes(room: EngineRoom, listed: Mapping[str, PlannedUnit]) -> int:
-    """Return the memory beside all that is resident and all that is let through."""
+    """Return the memory that neither residents nor listed units use."""
     sizes = {r.unit: r.size_bytes for r in room.residents}
     sizes |= {unit: planned.size_bytes for unit, planned in listed.items()}
     return room.capacity_bytes - sum(sizes.values())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/make_room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/make_room.py
@@ -1,4 +1,4 @@
-"""Makes room on a full engine: spare replicas go first, then small groups move away."""
+"""Makes room on a full engine: removes spare replicas, then moves small groups."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class Displacement(NamedTuple):
-    """``group`` leaves the engine; ``to`` is where it goes, empty for an eviction."""
+    """``group`` moves from the engine to engine ``to``; an empty ``to`` is an eviction."""
 
     group: Group
     to: str
@@ -24,10 +24,10 @@
     replica: int,
     load_by_key: Mapping[str, float],
 ) -> str | None:
-    """Free ``group.size_bytes`` on one of ``engines`` with the fewest changes; return it.
+    """Make room for ``group`` on one of ``engines`` with the fewest changes; return the engine.
 
-    A group gives a replica up only if it keeps at least ``replica`` others, so
-    a second replica never costs another model its second, nor a first its first.
+    A replica is evicted only if its group keeps at least ``replica`` others: a second
+    replica never replaces the second replica of another model, nor a first the only one.
     """
     tried = sorted(engines, key=lambda e: (-layout.free_bytes(e), e))[:MAX_ENGINES_TRIED]
     plans = [(e, _displacements(layout, group, e, replica, load_by_key)) for e in tried]
@@ -72,7 +72,7 @@
 def _displaceable(
     layout: Layout, engine: str, replica: int, load_by_key: Mapping[str, float]
 ) -> list[Group]:
-    """Return the groups of ``engine``: spare ones by demand, then the others by size."""
+    """Return the groups of ``engine``: spare replicas by demand, then the others by size."""
 
     def rank(group: Group) -> tuple[bool, float]:
         spare = _is_spare(layout, group, replica)
@@ -86,7 +86,7 @@
 
 
 def _destination(layout: Layout, group: Group, engine: str, taken: Mapping[str, int]) -> str | None:
-    """Return an engine with room for ``group`` in a failure domain that it may move to."""
+    """Return the engine with the least sufficient room, in a failure domain not in use."""
     used = layout.domains(group.key, without=engine)
     fitting = [
         other
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/move_history.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/move_history.py
@@ -1,4 +1,4 @@
-"""The moves of the deployment, kept in the platform for operators."""
+"""The recent moves of the deployment, stored in the platform for operators."""
 
 import datetime
 import threading
@@ -25,10 +25,10 @@
 
 
 class MoveHistory:
-    """Notes moves at once and writes them apart from the owners' threads.
+    """Records moves in memory and writes them on another thread than the owners'.
 
-    An owner that waited for a slow table here would poll its engine late, and
-    the engine would count as quiet. What waits is bounded; the oldest goes.
+    An owner that waited for a slow table would poll its engine late, and the engine would
+    count as silent. The number of unwritten moves is bounded; the oldest are dropped.
     """
 
     def __init__(self, table: Table) -> None:
@@ -37,7 +37,7 @@
         self._unwritten: list[Move] = []
 
     def note(self, upstream: str, order: Order, outcome: str) -> None:
-        """Keep how ``order`` ended; never waits for the platform."""
+        """Record how ``order`` ended, without waiting for the platform."""
         at = datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
         action = "load" if order.load else "unload"
         with self._lock:
@@ -45,7 +45,10 @@
             del self._unwritten[:-MAX_UNWRITTEN_MOVES]
 
     def flush(self) -> None:
-        """Write what waits; raise `PlatformError`, and keep it for the next time."""
+        """Write the recorded moves.
+
+        Raises `PlatformError` if a write fails; moves not yet written are kept.
+        """
         with self._lock:
             unwritten, self._unwritten = self._unwritten, []
         moves_by_upstream: dict[str, list[Move]] = defaultdict(list)
@@ -62,7 +65,10 @@
                 self._unwritten = left + self._unwritten
 
     def recent(self) -> list[Move]:
-        """Return the moves that are kept, the newest first; raise `PlatformUnavailable`."""
+        """Return the stored moves, newest first.
+
+        Raises `PlatformUnavailable` if the table does not answer.
+        """
         rows = self._table.scan(MOVES_PREFIX).values()
         moves = [Move(*item) for row in rows for item in row.value]
         return sorted(moves, reverse=True)
@@ -70,7 +76,7 @@
     def _append(self, upstream: str, moves: list[Move]) -> None:
         key = MOVES_PREFIX + upstream
         outcome = None
-        # A former owner may write its last moves at the same time: read again then.
+        # Retried on a conflict: a former owner may write its last moves at the same time.
         while not isinstance(outcome, Committed):
             row = self._table.read([key])[key]
             kept = [*(row.value if row else []), *moves][-MAX_MOVES_PER_ENGINE:]
