--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/open_order.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/open_order.py
@@ -1,4 +1,4 @@
-"""An order that may still take effect, and what can become of it."""
+"""Orders to engines while they may still take effect, and their outcomes."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Outcome(StrEnum):
-    """How an order ended; a ``VOID`` one never took effect and never will."""
+    """How an order ended; a ``VOID`` one has not taken effect and never will."""
 
     DONE = "done"
     FAILED = "failed"
@@ -15,9 +15,9 @@
 
 
 class OpenOrder(NamedTuple):
-    """``order`` as told to the engine process at ``url``.
+    """An order for the engine process at ``url``.
 
-    ``sent_by`` is when, on this process's clock, it had gone out if it ever did.
+    ``sent_by`` is the latest time, on this process's clock, at which it can have been sent.
     """
 
     order: Order
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/order_sender.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/order_sender.py
@@ -1,4 +1,4 @@
-"""Sends orders to one engine: the intent first, the lease checked right before each."""
+"""Sends orders to one engine: writes an intent first, and checks the lease before each."""
 
 import math
 
@@ -15,13 +15,13 @@
 from redwingscale_daemon._internal.placement.owner_parts import OwnerParts
 from redwingscale_daemon._internal.upstreams.engine_control import Guard
 
-# The least that must be left of a lease for an order to an engine without fencing;
-# the call as a whole is bounded by what is left, so it ends inside the lease.
+# What must remain of the lease to send an order to an engine without fencing. The
+# remaining time is also the timeout of the call, so it ends within the lease.
 MIN_LEASE_SECONDS = 0.25
 
 
 class OrderSender:
-    """The ledger of one engine together with its row of intents."""
+    """Keeps the ledger of one engine and its row of intents."""
 
     def __init__(self, parts: OwnerParts) -> None:
         self._parts = parts
@@ -32,11 +32,11 @@
         self.ledger = Ledger()
 
     def take_over(self, engine: EngineMember, grant: Grant) -> None:
-        """Count the intents of earlier holders, once for each grant.
+        """Add the intents of earlier owners to the ledger, once for each grant.
 
-        Raises `PlatformError` for an engine that ignores fencing: unread
-        intents may still take effect there. With fencing they cannot, once the
-        fence is raised: what the engine took before shows in its report.
+        Raises `PlatformError` if they cannot be read for an engine without fencing, where
+        they may still take effect. With fencing they cannot once the fence is raised, and
+        the report shows the orders that the engine accepted before.
         """
         if self._fence == grant.fence and (self._version is not None or engine.checks_fencing):
             return
@@ -60,7 +60,7 @@
             self._send_one(engine, grant, order)
 
     def drop(self, order: Order) -> None:
-        """Take an order out that certainly did not go out."""
+        """Remove an order that was certainly not sent."""
         self.ledger.drop(order.order_id)
 
     def _read(self, engine: EngineMember) -> None:
@@ -82,8 +82,8 @@
             log_event("intents_not_written", level="WARNING", upstream=engine.id, error=error)
         if self._version is not None:
             self._written = {o.order.order_id for o in orders}
-        # An engine with fencing takes no order of a holder that has been succeeded,
-        # and its report shows the successor what it took: it needs no intent.
+        # An engine with fencing rejects orders of a former owner, and its report shows the
+        # successor which orders it accepted, so the intent is not needed.
         return self._version is not None or engine.checks_fencing
 
     def _send_one(self, engine: EngineMember, grant: Grant, order: Order) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
@@ -1,4 +1,4 @@
-"""The owner of an engine: polls it, publishes its digest, sends it orders."""
+"""The owner of an engine: polls it, publishes its digest and sends orders to it."""
 
 import threading
 import uuid
@@ -27,14 +27,16 @@
 from redwingscale_daemon._internal.upstreams.directory import TOPIC
 
 MAX_FAILED_POLLS = 3
-# An order that the engine's reports do not show for so long is lost, or late: a higher
-# fence makes sure that it is dead.
+# An order that is missing in the engine's reports for this long is lost or late; the
+# fence is raised so that it can no longer take effect.
 UNREPORTED_ORDER_SECONDS = 2.0
+# Once memory for planned units has been short for this long, a unit may be unloaded
+# without a ready replacement, see `Replacements.may_unload_without_replacement`.
 REPLACEMENT_TIMEOUT_SECONDS = 30.0
 
 
 class EngineOwner:
-    """Work on one engine; everything runs on the thread that calls `step`."""
+    """Controls one engine; all calls to it run on the thread that calls `step`."""
 
     def __init__(self, engine: str, parts: OwnerParts) -> None:
         self._lock = threading.Lock()
@@ -49,30 +51,30 @@
         self._blocked_since: float | None = None
 
     def step(self, engine: EngineMember, grant: Grant) -> None:
-        """Poll ``engine`` once, tell everyone, and order what is due.
+        """Poll ``engine``, publish its digest, and send the orders that are due.
 
-        With a ``grant`` past its lease it goes on reading and publishing.
+        With a ``grant`` whose lease has lapsed, it still polls and publishes.
         """
         with self._lock:
             if self._is_superseded(grant):
                 return
-            # Once more at once, if the fence had to be raised: what a report from before
-            # it does not show may still have been started by an earlier holder.
+            # Repeated at once if the fence was raised: the report from before may lack an
+            # order that an earlier owner sent meanwhile.
             if not self._poll_and_order(engine, grant):
                 self._poll_and_order(engine, grant)
 
     @property
     def is_busy(self) -> bool:
-        """Whether the engine is to be polled soon again: an order or a drain is under way."""
+        """Whether an order or a drain is in progress, so that the engine is polled more often."""
         return bool(self._sender.ledger.open_orders() or self._retirements.units)
 
     def close(self) -> None:
-        """Wait for a step that runs."""
+        """Wait until a running step has ended."""
         with self._lock:
             return
 
     def _poll_and_order(self, engine: EngineMember, grant: Grant) -> bool:
-        """Poll, publish and order; return False when a fresh report is needed."""
+        """Poll, publish and send orders; return False if a new report is needed at once."""
         polled_at = self._parts.clock()
         report = self._poll(engine, grant)
         if report is None:
@@ -89,7 +91,7 @@
     def _may_order(self, engine: EngineMember, grant: Grant, report: Report) -> bool:
         if report.leaving or engine.leaving:
             return False
-        # An engine with fencing is safe with any holder, also while the table is down.
+        # An engine with fencing rejects stale orders itself, also while the table is down.
         return engine.checks_fencing or self._parts.ownership.grant_of(self._engine) == grant
 
     def _poll(self, engine: EngineMember, grant: Grant) -> Report | None:
@@ -110,15 +112,15 @@
         return report
 
     def _set_aside(self, grant: Grant) -> None:
-        """Stop new routing to the engine until its next sound report."""
+        """Stop routing new requests to the engine until its next valid report."""
         view = self._parts.directory.engines().get(self._engine)
         digest = view.digest if view else None
         if digest is None or (digest.set_aside and digest.fence == grant.fence):
             return
         log_event("upstream_set_aside", level="WARNING", upstream=self._engine)
         set_aside_digest = digest._replace(fence=grant.fence, set_aside=True)
-        # Told through the news as well: the first sound report after it differs from
-        # it, so the engine is back at once and not only with the next refresh.
+        # Recorded in the filter as well: the next valid report differs from it, so it is
+        # published at once and not only with the next refresh.
         self._digest_filter.admit(set_aside_digest)
         self._parts.gossip.publish(TOPIC, self._engine, set_aside_digest)
 
@@ -173,9 +175,9 @@
             self._backoff.note(order.unit, failed=outcome is Outcome.FAILED)
 
     def _is_unsafe(self, engine: EngineMember, grant: Grant, report: Report) -> bool:
-        """Return whether no order may go out by this report."""
+        """Return whether no order may be sent on the basis of ``report``."""
         if engine.checks_fencing and self._has_unreported_order(report):
-            # Only a held grant can be replaced; past its lease the orders stay reserved.
+            # Possible only within the lease; after it, the orders stay in the ledger.
             self._parts.ownership.raise_fence(self._engine)
             return True
         return engine.checks_fencing and report.fence > grant.fence
@@ -215,9 +217,9 @@
         now = self._parts.clock()
         self._blocked_since = now if self._blocked_since is None else self._blocked_since
         if now - self._blocked_since > REPLACEMENT_TIMEOUT_SECONDS:
-            # What the plan wants here cannot come before something goes. The last copy
-            # of a model that is to move elsewhere stays: a plan that is stuck costs
-            # attainment, a listed model that answers nowhere breaks a promise.
+            # The planned units cannot be loaded before another unit is unloaded. The last
+            # copy of a model that moves to another engine stays: a blocked plan only costs
+            # attainment, but a listed model must always be ready somewhere.
             spare = {
                 u
                 for u in waiting
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner_parts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner_parts.py
@@ -1,4 +1,4 @@
-"""What the owners of all engines share."""
+"""The objects that the owners of all engines share."""
 
 from typing import NamedTuple
 
@@ -16,7 +16,7 @@
 
 
 class OwnerParts(NamedTuple):
-    """Wired once by the composition root."""
+    """Built once by the composition root."""
 
     control: EngineControl
     gossip: GossipState
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owners.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owners.py
@@ -1,4 +1,4 @@
-"""Which engines this instance owns, and a thread for each of them."""
+"""Selects the engines that this instance owns, and runs a thread for each of them."""
 
 import threading
 import time
@@ -15,8 +15,8 @@
 from redwingscale_daemon._internal.settings.settings import InstanceSettings, Timing
 from redwingscale_daemon._internal.utils.periodic import Periodic
 
-# Polls in the time of one while an order or a drain is under way: a model's way back
-# takes several reports, one after the other.
+# Polls within one poll interval while an order or a drain is in progress, since loading
+# a model again takes several reports in sequence.
 BUSY_POLLS_PER_INTERVAL = 4
 
 
@@ -26,7 +26,7 @@
 
 
 class Owners:
-    """Takes the engines of the own failure domain that fall to this instance."""
+    """Owns the engines of its failure domain that rendezvous hashing assigns to this instance."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self._stopped = False
 
     def step(self) -> None:
-        """Start work on engines that fall to this instance, end it on the others."""
+        """Start owners of newly assigned engines, and end those of the others."""
         with self._lock:
             if self._stopped:
                 return
@@ -62,11 +62,11 @@
         return {engine.id for engine in self._members.engines() if self._is_assigned_here(engine)}
 
     def stop(self) -> None:
-        """End all work and give the ownerships and the session back, for good.
+        """End all owners, and release their ownerships and the session permanently.
 
-        The thread that looks for engines may have one more turn: it would take
-        them again, and the process would end as the owner of engines to which
-        nobody else may give orders until its lease has run out.
+        The thread that calls `step` may run it once more. Without a guard it would take the
+        engines again, and the process would end as the owner of engines to which no other
+        instance may send orders until its lease has expired.
         """
         with self._lock:
             self._stopped = True
@@ -85,8 +85,8 @@
     def _end(self, engine: str) -> None:
         owner, task = self._work_by_engine.pop(engine)
         task.stop()
-        # Not released before the last_grant step has ended: its orders would meet the
-        # successor's.
+        # Released only after the last step has ended: otherwise its orders could conflict
+        # with those of the successor.
         owner.close()
         self._ownership.release(engine)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan.py
@@ -1,22 +1,22 @@
-"""The plan: which units each engine should hold."""
+"""The plan: which units each engine should have resident."""
 
 from typing import NamedTuple
 
 
 class PlannedUnit(NamedTuple):
-    """A unit and its size, as the configuration of the plan had it."""
+    """A unit and its size according to the configuration of the plan."""
 
     unit: str
     size_bytes: int
 
 
 class Plan(NamedTuple):
-    """``units_by_engine`` of plan ``sequence``, made for a configuration version.
+    """A plan with its sequence number, made for one configuration version.
 
-    ``units_by_engine`` is what owners carry out now: it holds back loads that
-    must wait for the gate, and keeps units whose substitute is not ready yet.
-    ``target_by_engine`` is where it leads: the model versions (``model@version``)
-    that each engine holds when all loads are done. A new planner goes on from it.
+    ``units_by_engine`` is what owners carry out now: it excludes loads that wait for the
+    load gate, and includes units whose substitutes are not ready yet.
+    ``target_by_engine`` has the model versions (``model@version``) that each engine has
+    after all loads. A new planner continues from it.
     """
 
     sequence: int
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_follower.py
@@ -1,4 +1,4 @@
-"""The plan as the owners of this instance follow it."""
+"""Provides the current plan to the owners of this instance."""
 
 import threading
 from collections.abc import Callable
@@ -11,12 +11,13 @@
 
 
 class PlanFollower:
-    """One read a second for all owners of the instance, whatever they own.
+    """Reads the plan once a second for all owners of the instance.
 
-    Each owner asks at every step: at the design size that would be a read a
-    second for every engine, half of what the table serves. The store is this
-    object's own: what owners read must never move the version on which the
-    planner bases its next write, or it would undo a plan that it never saw.
+    Each owner needs the plan at every step. Separate reads would take one a second for
+    every engine, which at the design size is half of what the table can serve. The
+    `PlanStore` is not shared with the planner: a read by an owner must not advance the
+    version on which the planner bases its next write, or that write would overwrite a
+    plan that the planner has not read.
     """
 
     def __init__(self, store: PlanStore, clock: Callable[[], float]) -> None:
@@ -27,7 +28,7 @@
         self._plan: Plan | None = None
 
     def latest(self) -> Plan | None:
-        """Return the plan read last; while the store is down, the last one known."""
+        """Return the current plan; while the store is down, the one read last."""
         with self._lock:
             now = self._clock()
             if now - self._read_at >= READ_SECONDS:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_maker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_maker.py
@@ -1,4 +1,4 @@
-"""Makes the next plan out of the last one; talks to nobody."""
+"""Computes the next plan from the last one, without any input or output."""
 
 from collections.abc import Iterable, Mapping
 
@@ -19,7 +19,7 @@
 
 
 class PlanMaker:
-    """Keeps the gate's rate and the smoothed service time from plan to plan."""
+    """Makes plans; keeps the state of the load gate and the smoothed service time."""
 
     def __init__(self) -> None:
         self._gate = LoadGate()
@@ -36,8 +36,8 @@
     ) -> Plan:
         """Return the plan that follows ``old``; ``now`` is on the monotonic clock.
 
-        ``rates_by_number`` has requests a second by `model_number`. Engines
-        without a room are not in the plan.
+        ``rates_by_number`` has requests per second by `model_number`. Engines that are not
+        in ``rooms_by_engine`` are not in the plan.
         """
         configuration = accepted.configuration
         groups_by_key = all_groups(configuration)
@@ -70,7 +70,7 @@
     def _load_by_key(
         self, configuration: Configuration, rates_by_number: Mapping[int, float]
     ) -> dict[str, float]:
-        """Return requests at once by serving version: rate times service time."""
+        """Return concurrent requests by serving version: rate times service time."""
         seconds = self.service_time.seconds
         return {
             f"{model.name}@{model.serving}": rates_by_number.get(model_number(model.name), 0.0)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_store.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_store.py
@@ -1,4 +1,4 @@
-"""The plan in the platform: an object and a pointer row."""
+"""Stores the plan in the platform, as an object and a row that points to it."""
 
 import msgspec
 from redwingscale_common.utils.digests import sha256_hex
@@ -19,7 +19,10 @@
         self._plan: Plan | None = None
 
     def read(self) -> Plan | None:
-        """Return the newest plan; raise `PlatformUnavailable`."""
+        """Return the newest plan.
+
+        Raises `PlatformUnavailable` if the platform does not answer.
+        """
         row = self._platform.table.read([POINTER_KEY])[POINTER_KEY]
         if row is None:
             return None
@@ -30,7 +33,7 @@
         return self._plan
 
     def write(self, plan: Plan) -> bool:
-        """Replace the plan last read by ``plan``; return False when another came first."""
+        """Replace the plan read last with ``plan``; return False if another write came first."""
         data = msgspec.msgpack.encode(plan)
         digest = sha256_hex(data)
         self._platform.objects.put(f"plan/{digest}", data)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/planner.py
@@ -1,4 +1,4 @@
-"""The planner: one instance among all makes the plan."""
+"""The planner: the instance that holds its lease makes the plan."""
 
 import time
 from collections.abc import Iterable
@@ -20,7 +20,7 @@
 
 
 class Planner:
-    """Goes on from the last plan to the next one, if this instance holds the lease."""
+    """Makes and stores the next plan while this instance holds the planner's lease."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self._maker = PlanMaker()
 
     def step(self) -> None:
-        """Plan once, if this instance holds the planner's lease."""
+        """Make a plan if this instance holds or can take the planner's lease."""
         if self._ownership.try_acquire(LEASE_NAME) is None:
             return
         try:
@@ -59,8 +59,8 @@
         rates = self._demand.rates_by_number()
         self._update_service_time(views.values(), sum(rates.values()))
         plan = self._maker.next_plan(old, accepted, rooms, rates, now)
-        # An engine that leaves or is lost keeps its lines until the list drops it:
-        # what runs there ends undisturbed, and if it comes back it need not reload.
+        # An engine that is leaving or lost keeps its planned units until it is no longer
+        # listed: its requests can finish, and it need not reload if it returns.
         absent = old.units_by_engine.keys() & (views.keys() - rooms.keys())
         plan.units_by_engine.update({e: old.units_by_engine[e] for e in absent})
         if old._replace(sequence=plan.sequence) == plan:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/replacements.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/replacements.py
@@ -1,4 +1,4 @@
-"""Whether a unit may leave an engine without its callers losing their model."""
+"""Decides whether a unit may be unloaded without loss of its model for callers."""
 
 from redwingscale_common.configuration import Unit
 
@@ -7,13 +7,13 @@
 
 
 class Replacements:
-    """Looks for what the plan has in place of a unit: elsewhere, or a newer version."""
+    """Finds planned replacements of a unit: on another engine, or another version."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
 
     def are_ready(self, unit: str, plan: Plan) -> bool:
-        """Return whether a planned replica of ``unit`` answers, or none is planned at all."""
+        """Return whether a planned replacement of ``unit`` is ready, or none is planned."""
         wanted = Unit.parse(unit)
         replicas = [
             (engine, planned.unit)
@@ -24,11 +24,11 @@
         return not replicas or any(self._is_ready_on(engine, other) for engine, other in replicas)
 
     def may_unload_without_replacement(self, unit: str, engine: str, plan: Plan) -> bool:
-        """Return whether ``unit`` may leave ``engine`` though no planned replica answers.
+        """Return whether ``engine`` may unload ``unit`` though no replacement is ready.
 
-        It may if it answers at another engine, planned or not. It may also if what
-        replaces it is planned for this very engine: a new version for which there is
-        room only after the old one went would else never come into force.
+        It may if ``unit`` is ready on another engine, planned or not. It also may if a
+        replacement is planned for this same engine: otherwise a new version for which there
+        is no room beside the old one would never be loaded.
         """
         wanted = Unit.parse(unit)
         here = plan.units_by_engine.get(engine, [])
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/retirements.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/retirements.py
@@ -1,4 +1,4 @@
-"""The units of one engine that retire: no new requests, unloaded once drained."""
+"""The retiring units of one engine: they get no new requests, and are unloaded once drained."""
 
 from typing import NamedTuple
 
@@ -13,7 +13,7 @@
 
 
 class Retirements:
-    """Kept by the owner; a successor begins anew under its own fence."""
+    """Kept in the owner's memory; a successor starts again under its own fence."""
 
     def __init__(self, engine: str, acks: DrainAcks, clock: Clock) -> None:
         self._engine = engine
@@ -29,10 +29,10 @@
         return tuple(sorted(self._retirements_by_unit))
 
     def update(self, units: set[str], fence: int) -> bool:
-        """Let exactly ``units`` retire; return whether that is a change.
+        """Set the retiring units to ``units``; return whether they have changed.
 
-        Under a new fence all begin anew: another owner may have let instances
-        use a unit again in between, and an old word of theirs would count.
+        Under a new fence all units start again: another owner may have returned a unit to
+        use in between, and an old acknowledgement of an instance would still count.
         """
         if fence != self._fence:
             self._fence = fence
@@ -46,7 +46,7 @@
         return True
 
     def drained(self) -> set[str]:
-        """Return the units that no instance routes to or runs any more."""
+        """Return the retiring units that no instance uses any more."""
         now = self._clock()
         return {
             unit
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/service_time.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/service_time.py
@@ -1,4 +1,4 @@
-"""How long a request keeps a place in an engine's batch, by Little's law."""
+"""Estimates how long a request occupies a slot of an engine, by Little's law."""
 
 DEFAULT_SECONDS = 3.0
 MIN_SECONDS = 0.05
@@ -9,16 +9,16 @@
 
 
 class ServiceTime:
-    """Running requests over arrivals a second, smoothed."""
+    """Running requests divided by arrivals per second, smoothed."""
 
     def __init__(self) -> None:
         self.seconds = DEFAULT_SECONDS
 
     def update(self, running: int, slots: int, requests_per_second: float) -> float:
-        """Take one look at the whole deployment; return the seconds.
+        """Update the estimate from the totals of the deployment, and return it.
 
-        Nearly full engines are left out: what waits or was refused counts as an
-        arrival but does not run, and would make requests look short.
+        Nothing is updated while the engines are nearly full: requests that wait or were
+        refused count as arrivals but not as running, so the estimate would be too low.
         """
         if (
             requests_per_second < MIN_REQUESTS_PER_SECOND
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/swap_room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/swap_room.py
@@ -1,4 +1,4 @@
-"""Makes room where memory is nearly full: groups of unequal size change places."""
+"""Makes room on nearly full engines by exchanging groups of different sizes."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class Swap(NamedTuple):
-    """``out`` leaves for ``partner``, whose ``back`` comes in its place."""
+    """``out`` moves to the engine ``partner``, and ``back`` moves from there in its place."""
 
     out: Group
     partner: str
@@ -24,10 +24,10 @@
 
 
 def swap_room(layout: Layout, group: Group, engines: Iterable[str]) -> str | None:
-    """Gather the free rests of other engines on one of ``engines``; return it.
+    """Gather the free memory of other engines on one of ``engines``; return that engine.
 
-    What is left over on each engine is too small for any model, but together it
-    is enough: without this, İzmir's memory holds two models less.
+    The free memory of each engine may be too small for any model, though the sum is
+    enough. Without these swaps, a nearly full deployment may fit two models fewer.
     """
     tried = sorted(engines, key=lambda e: (-layout.free_bytes(e), e))[:MAX_ENGINES_TRIED]
     return next((e for e in tried if _gather(layout, group, e)), None)
@@ -71,7 +71,7 @@
 
 
 def _may_move(layout: Layout, group: Group, source: str, target: str) -> bool:
-    """Return whether two failure domains are kept, and a replica to serve meanwhile."""
+    """Return whether the failure domains stay distinct, and a replica serves during the move."""
     serves_meanwhile = len(layout.replicas(group.key)) > 1
     is_new = not layout.rooms_by_engine[source].holds(group.key)
     domain = layout.rooms_by_engine[target].failure_domain
