--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/grant.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/grant.py
@@ -1,4 +1,4 @@
-"""The right to act on something, with its fencing number."""
+"""The right to act on a named resource, with its fencing number."""
 
 from typing import NamedTuple
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/ownership.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of named things: rows that hang on the holder's session."""
+"""Ownership of named resources: rows that depend on the session of the lease holder."""
 
 from typing import NamedTuple
 
@@ -23,7 +23,7 @@
 
 
 class _Owned(NamedTuple):
-    """A grant with the row version and the session epoch that it was taken in."""
+    """A grant with its row version and the session epoch in which it was acquired."""
 
     grant: Grant
     version: int
@@ -31,7 +31,7 @@
 
 
 class Ownership:
-    """Takes, holds and releases ownership; at most one holder may act at a time."""
+    """Acquires and releases ownership; at most one lease holder of a name may act at a time."""
 
     def __init__(
         self,
@@ -48,7 +48,10 @@
         self._owned_by_name: dict[str, _Owned] = {}
 
     def rows(self) -> dict[str, dict[str, object]]:
-        """Return holder, boot and fence of everything owned; raise `PlatformUnavailable`."""
+        """Return holder, boot and fence of all names that any instance owns.
+
+        Raises `PlatformUnavailable` if the table does not answer.
+        """
         rows = self._table.scan(OWNER_PREFIX)
         return {key.removeprefix(OWNER_PREFIX): row.value for key, row in rows.items()}
 
@@ -60,40 +63,41 @@
         return owned.grant
 
     def last_grant(self, name: str) -> Grant | None:
-        """Return the last_grant grant of ``name``, lapsed or not, unless another is known to hold it.
+        """Return the last grant of ``name``, even if lapsed, unless another owner is known.
 
-        Good for reading and publishing, and for orders that the receiver fences.
+        It is sufficient for reading and publishing, and for orders to a receiver that
+        checks the fence.
         """
         owned = self._owned_by_name.get(name)
         return owned.grant if owned else None
 
     def remaining_seconds(self, grant: Grant) -> float:
-        """Return for how long nobody else can hold what ``grant`` gives; 0 when it lapsed."""
+        """Return for how long no other instance can own the name; 0 if ``grant`` has lapsed."""
         owned = self._owned_by_name.get(grant.name)
         if owned is None or owned.grant != grant:
             return 0.0
         return self._session.remaining_seconds(owned.epoch)
 
     def check(self, grant: Grant) -> Check:
-        """Return the condition that ``grant`` is still the newest of its name."""
+        """Return the check that ``grant`` is still the newest one of its name."""
         owned = self._owned_by_name.get(grant.name)
         version = owned.version if owned is not None and owned.grant == grant else ABSENT
         return Check(OWNER_PREFIX + grant.name, version)
 
     def try_acquire(self, name: str) -> Grant | None:
-        """Take ``name`` if it is free or its holder's session has stopped; else None."""
+        """Acquire ``name`` if it is free or its holder's session has expired; else return None."""
         if (grant := self.grant_of(name)) is not None:
             return grant
         return self._acquire_logged(name)
 
     def raise_fence(self, name: str) -> Grant | None:
-        """Replace a owned grant of ``name`` by one with a higher fence; None when not owned."""
+        """Replace a valid grant of ``name`` with one of a higher fence; None if there is none."""
         if self.grant_of(name) is None:
             return None
         return self._acquire_logged(name)
 
     def release(self, name: str) -> None:
-        """Give ``name`` back, so that a successor need not wait for the lease."""
+        """Release ``name``, so that a successor need not wait for the lease to expire."""
         owned = self._owned_by_name.pop(name, None)
         if owned is None:
             return
@@ -104,7 +108,7 @@
             log_event("ownership_not_released", level="WARNING", name=name, error=error)
 
     def end(self) -> None:
-        """Give everything back at the end of the instance."""
+        """Release all names and end the session when the instance stops."""
         for name in list(self._owned_by_name):
             self.release(name)
         self._session.end()
@@ -129,12 +133,12 @@
             return self._write(name, row, [], epoch)
         self._owned_by_name.pop(name, None)
         session = self._table.read([session_key(holder)])[session_key(holder)]
-        # Whoever adopts a session waits until the one before has lapsed, so another
-        # boot in the row tells that this holder's lease is over.
+        # An instance adopts a session only after the previous one has lapsed, so another boot
+        # id in the session row shows that the lease of this holder has expired.
         is_current = session is not None and session.value["boot"] == boot
         if is_current and not self._has_expired(holder, session):
             return None
-        # The check on the session row makes a holder that renews right now win.
+        # With the check on the session row, a holder that renews at this moment keeps the name.
         version = session.version if session else ABSENT
         return self._write(name, row, [Check(session_key(holder), version)], epoch)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/row_observations.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/row_observations.py
@@ -1,4 +1,4 @@
-"""How long rows have stood still, on the reader's own clock."""
+"""Measures for how long rows have been unchanged, on the reader's own clock."""
 
 from typing import NamedTuple
 
@@ -15,11 +15,11 @@
 
 
 class RowObservations:
-    """Remembers when each row was first seen as it is.
+    """Remembers when each row was first read in its current version.
 
-    A holder counts its lease from before it sent a renewal, a reader from when
-    it saw the renewal's row: so the holder's lease always ends first. The
-    margin covers clocks that run at slightly different rates.
+    A lease holder counts its lease from before it sent a renewal, a reader from when it
+    read the renewed row, so the holder's lease always expires first. The margin covers
+    clocks that run at slightly different rates.
     """
 
     def __init__(self, lease_seconds: float, clock: Clock) -> None:
@@ -28,7 +28,7 @@
         self._observations_by_key: dict[str, _Observation] = {}
 
     def has_expired(self, key: str, row: Row) -> bool:
-        """Return whether ``row`` has stood still for longer than a lease."""
+        """Return whether ``row`` has been unchanged for longer than a lease and the margin."""
         now = self._clock()
         seen = self._observations_by_key.get(key)
         if seen is None or (seen.version, seen.write_id) != (row.version, row.write_id):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
@@ -1,4 +1,4 @@
-"""The session of this instance: one lease row that all its ownerships hang on."""
+"""The session of this instance: one lease row that all its ownerships depend on."""
 
 import math
 from typing import NamedTuple
@@ -26,15 +26,15 @@
 
 
 class Session:
-    """Renews ``sessions/<instance>``; valid until a time on this process's own clock.
+    """Renews the row ``sessions/<instance>``; valid until a time on this process's own clock.
 
-    No clock is shared: the holder counts the lease from before it sent the
-    renewal, a taker from when it saw the row stop changing. So the holder's
-    lease always ends first, however slow the reply or the reader was.
+    No clock is shared: the lease holder counts the lease from before it sent the renewal,
+    another instance from when it first read the row unchanged. So the holder's lease
+    always expires first, however slow the reply or the read was.
 
-    Takers write the rows of what they take, never this one: a holder that was
-    frozen past its lease can renew it when it wakes. So each lapse begins a
-    new ``epoch``, and what was owned in an earlier epoch is owned no more.
+    An instance that takes over writes the rows of the names that it takes, never this one,
+    so a holder that was suspended past its lease can still renew it. Therefore each lapse
+    starts a new ``epoch``, and names acquired in an earlier epoch are no longer owned.
     """
 
     def __init__(
@@ -57,27 +57,27 @@
 
     @property
     def boot(self) -> int:
-        """The id of this session; a restarted instance has another."""
+        """The id of this session; a restarted instance has a different one."""
         return self._boot
 
     @property
     def epoch(self) -> int:
-        """How often the session has begun anew."""
+        """The number of times that the session has lapsed or started."""
         return self._lease.epoch
 
     def is_valid(self) -> bool:
-        """Return whether nobody else may have taken over yet."""
+        """Return whether no other instance can have taken over."""
         return self.remaining_seconds(self.epoch) > 0
 
     def remaining_seconds(self, epoch: int) -> float:
-        """Return for how long nobody can take over what is owned since ``epoch``."""
+        """Return for how long no other instance can take over names acquired in ``epoch``."""
         lease = self._lease
         if lease.epoch != epoch:
             return 0.0
         return max(0.0, lease.valid_until - self._clock())
 
     def renew(self) -> None:
-        """Write the row once; a conflict means that the session was taken over."""
+        """Write the row once; a conflict means that another process of this id took the session."""
         if self._ended:
             return
         sent_at = self._clock()
@@ -97,7 +97,7 @@
             self._on_conflict(outcome.rows.get(self._key))
 
     def end(self) -> None:
-        """Give the session up for good, so that nobody need wait for the lease."""
+        """End the session permanently, so that no instance need wait for the lease to expire."""
         self._ended = True
         self._begin_epoch()
         if self._version is None:
@@ -109,8 +109,8 @@
 
     def _extend(self, sent_at: float) -> None:
         lease = self._lease
-        # The renewal proves no gap only if its reply came inside the old lease: after
-        # a pause the row may have stood still, and have been taken over, before it.
+        # The session continues only if the reply came within the old lease: before a later
+        # one, the row may have been unchanged for long enough to be taken over.
         lapsed = self._clock() >= lease.valid_until
         if lapsed:
             log_event("session_begun", key=self._key, epoch=lease.epoch + 1)
@@ -118,8 +118,8 @@
 
     def _on_conflict(self, row: Row | None) -> None:
         if row is not None and row.value["boot"] == self._boot:
-            # An earlier write of this session took effect although its reply and
-            # the read-back were lost. The lease stays as it is.
+            # An earlier write of this session took effect although its reply and the
+            # read-back were lost. The lease stays unchanged.
             self._version = row.version
             return
         self._begin_epoch()
@@ -130,10 +130,10 @@
         self._lease = _Lease(self._lease.epoch + 1, -math.inf)
 
     def _adopt(self) -> bool:
-        """Take the row over from an earlier process of the same id.
+        """Take over the row from an earlier process of the same instance id.
 
-        That process may be frozen, or cut off, and still count on its lease:
-        its row has to stand still for a lease, as with any other takeover.
+        That process may be suspended or partitioned while its lease is valid, so its row
+        must be unchanged for a whole lease, as in any other takeover.
         """
         row = self._table.read([self._key])[self._key]
         if row is not None and row.value["boot"] not in (ENDED_BOOT, self._boot):
