--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/assign.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/assign.py
@@ -108,4 +108,4 @@
     room = layout.rooms_by_engine[engine]
     resident_bytes = sum(r.size_bytes for r in room.residents)
     fits_beside_residents = room.capacity_bytes - resident_bytes >= group.size_bytes
-    return room.holds(group.key), fits_beside_residents, layout.free_bytes(engine), engine
+    return room.has_resident(group.key), fits_beside_residents, layout.free_bytes(engine), engine
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/balance.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/balance.py
@@ -98,22 +98,22 @@
             for e, replica_load in replica_loads.items()
         )
         level = _fill_level(others, slots, self._load_by_key[key])
-        spread = {e: max(0.0, (level - height) * slots[e]) for height, e in others}
+        spread = {e: max(0.0, (level - other_level) * slots[e]) for other_level, e in others}
         for engine, replica_load in spread.items():
             engine_loads[engine] += replica_load - replica_loads[engine]
         self.replica_loads_by_key[key] = spread
 
 
-def _fill_level(others: list[tuple[float, str]], slots: dict[str, int], work: float) -> float:
-    """Return the load per slot of the replicas that get some of ``work``.
+def _fill_level(others: list[tuple[float, str]], slots: dict[str, int], load: float) -> float:
+    """Return the load per slot of the replicas that get some of ``load``.
 
     ``others`` are the engines by their load per slot from other groups, in ascending order.
     """
-    width, volume, level = 0, work, 0.0
-    for index, (height, engine) in enumerate(others):
-        width += slots[engine]
-        volume += height * slots[engine]
-        level = volume / width
+    total_slots, total_load, level = 0, load, 0.0
+    for index, (other_level, engine) in enumerate(others):
+        total_slots += slots[engine]
+        total_load += other_level * slots[engine]
+        level = total_load / total_slots
         if index + 1 < len(others) and level <= others[index + 1][0]:
             break
     return level
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_room.py
@@ -38,6 +38,6 @@
     def is_open(self) -> bool:
         return self.availability is Availability.OPEN
 
-    def holds(self, unit: str) -> bool:
+    def has_resident(self, unit: str) -> bool:
         """Return whether ``unit`` takes memory here, ready or not."""
         return any(r.unit == unit for r in self.residents)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/swap_room.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/swap_room.py
@@ -73,7 +73,7 @@
 def _may_move(layout: Layout, group: Group, source: str, target: str) -> bool:
     """Return whether the failure domains stay distinct, and a replica serves during the move."""
     serves_meanwhile = len(layout.replicas(group.key)) > 1
-    is_new = not layout.rooms_by_engine[source].holds(group.key)
+    is_new = not layout.rooms_by_engine[source].has_resident(group.key)
     domain = layout.rooms_by_engine[target].failure_domain
     return (
         (serves_meanwhile or is_new)
