--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
@@ -109,8 +109,8 @@
 
     def _extend(self, sent_at: float) -> None:
         lease = self._lease
-        # The session continues only if the reply came within the old lease: before a later
-        # one, the row may have been unchanged for long enough to be taken over.
+        # The epoch continues only if the reply came within the old lease. Otherwise the row
+        # may have been unchanged for long enough that names were taken over.
         lapsed = self._clock() >= lease.valid_until
         if lapsed:
             log_event("session_begun", key=self._key, epoch=lease.epoch + 1)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/growth.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/growth.py
@@ -109,6 +109,7 @@
 def _steps_towards(
     layout: Layout, group: Group, source: str, target: str, balance: Balance, order: Sequence[str]
 ) -> Iterator[Step]:
+    """Yield the steps that add ``group`` to ``target``, or move it there from ``source``."""
     lacking = group.size_bytes - layout.free_bytes(target)
     add = Change(target, group.key, added=True)
     if lacking <= 0:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/hand_over.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/hand_over.py
@@ -42,7 +42,7 @@
     def listed(
         self, released_by_engine: Mapping[str, Iterable[PlannedUnit]]
     ) -> dict[str, dict[str, PlannedUnit]]:
-        """Return the units by engine; ``released_by_engine`` is from the last plan."""
+        """Return the units to list, by engine; ``released_by_engine`` is from the last plan."""
         return {
             engine: self._listed_here(room, {p.unit: p for p in released_by_engine.get(engine, ())})
             for engine, room in self._rooms_by_engine.items()
