--- a/packages/redwingscale-daemon/tests/unit/placement/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/placement/conftest.py
@@ -1,4 +1,4 @@
-"""Engines that carry out plans in memory, and the plan maker that drives them."""
+"""Simulated engines that carry out plans, and the plan maker that makes them."""
 
 import random
 from pathlib import Path
@@ -17,13 +17,13 @@
 
 
 class Fleet:
-    """Follows each plan: unloads what it no longer lists, loads what it newly lists."""
+    """Carries out each plan: unloads units that are no longer listed, loads those added."""
 
     def __init__(self, configuration: Configuration, domains: str, memory_gb: float) -> None:
         self.configuration = configuration
         self.capacity = int(memory_gb * GIGABYTE)
         self.domains = {f"e{n}": domain for n, domain in enumerate(domains)}
-        self.held: dict[str, dict[str, ResidentUnit]] = {e: {} for e in self.domains}
+        self.residents_by_engine: dict[str, dict[str, ResidentUnit]] = {e: {} for e in self.domains}
         self.availability: dict[str, Availability] = {}
         self.maker = PlanMaker()
         self.plan = EMPTY_PLAN
@@ -31,13 +31,13 @@
         self.now = 0.0
         self.moves = 0
         self.most_loading = 0
-        self.broken: set[str] = set()
+        self.stalled: set[str] = set()
 
     def demand(self, **rates: float) -> None:
         self.rates = {model_number(m.replace("_", "-")): rate for m, rate in rates.items()}
 
     def step(self, rng: random.Random | None = None, seconds: float = 2.0) -> None:
-        """Make a plan and carry it out; with ``rng`` loads end after a random while."""
+        """Make a plan and carry it out; with ``rng``, loads end after a random number of steps."""
         self.now += seconds
         rooms = {
             e: EngineRoom(
@@ -46,7 +46,7 @@
                 self.capacity,
                 32,
                 self.availability.get(e, Availability.OPEN),
-                () if e in self.availability else tuple(self.held[e].values()),
+                () if e in self.availability else tuple(self.residents_by_engine[e].values()),
             )
             for e, domain in self.domains.items()
         }
@@ -54,42 +54,55 @@
         self.plan = self.maker.next_plan(self.plan, accepted, rooms, self.rates, self.now)
         for engine in self.domains:
             self._carry_out(engine, rng)
-        loading = sum(not r.ready for held in self.held.values() for r in held.values())
+        loading = sum(
+            not r.ready
+            for residents in self.residents_by_engine.values()
+            for r in residents.values()
+        )
         self.most_loading = max(self.most_loading, loading)
 
     def _carry_out(self, engine: str, rng: random.Random | None) -> None:
         listed = {p.unit: p for p in self.plan.units_by_engine.get(engine, ())}
-        held = self.held[engine]
-        for unit, resident in list(held.items()):
-            done = engine not in self.broken and (not rng or rng.random() < 0.5)
-            held[unit] = resident._replace(ready=resident.ready or done)
-        for unit in held.keys() - listed.keys():
-            del held[unit]
+        residents = self.residents_by_engine[engine]
+        for unit, resident in list(residents.items()):
+            done = engine not in self.stalled and (not rng or rng.random() < 0.5)
+            residents[unit] = resident._replace(ready=resident.ready or done)
+        for unit in residents.keys() - listed.keys():
+            del residents[unit]
             self.moves += 1
         for unit, planned in listed.items():
-            if unit not in held:
-                held[unit] = ResidentUnit(
-                    unit, planned.size_bytes, ready=not rng and engine not in self.broken
+            if unit not in residents:
+                residents[unit] = ResidentUnit(
+                    unit, planned.size_bytes, ready=not rng and engine not in self.stalled
                 )
                 self.moves += 1
-        assert sum(r.size_bytes for r in held.values()) <= self.capacity
+        assert sum(r.size_bytes for r in residents.values()) <= self.capacity
 
     def settle(self, steps: int = 400) -> None:
-        """Step until the plan says the same twice, with nothing left to load."""
+        """Step until the plan stays the same and all of its target is resident."""
         for _ in range(steps):
             before = self.plan
             self.step()
             wanted = sum(len(keys) for keys in self.plan.target_by_engine.values())
-            held = sum(":" not in unit for units in self.held.values() for unit in units)
-            if before._replace(sequence=0) == self.plan._replace(sequence=0) and wanted == held:
+            residents = sum(
+                ":" not in unit for units in self.residents_by_engine.values() for unit in units
+            )
+            if (
+                before._replace(sequence=0) == self.plan._replace(sequence=0)
+                and wanted == residents
+            ):
                 return
-        raise AssertionError("the plan does not come to rest")
+        raise AssertionError("the plan does not settle")
 
     def lose(self, engine: str) -> None:
-        del self.domains[engine], self.held[engine]
+        del self.domains[engine], self.residents_by_engine[engine]
 
     def ready_on(self, unit: str) -> set[str]:
-        return {e for e, held in self.held.items() if unit in held and held[unit].ready}
+        return {
+            e
+            for e, residents in self.residents_by_engine.items()
+            if unit in residents and residents[unit].ready
+        }
 
     def single_domain_models(self) -> list[str]:
         """Return the listed models that are not ready in two failure domains."""
@@ -99,7 +112,7 @@
 
 @pytest.fixture
 def example() -> Any:
-    """Return an example's configuration, the store's limits raised unless told."""
+    """Return a loader of example configurations, without load limits unless ``limited``."""
 
     def load(name: str, *, limited: bool = False) -> Configuration:
         root = Path(__file__).parents[5]
@@ -120,7 +133,7 @@
 
 
 def serve_version(configuration: Configuration, model: str, version: str) -> Configuration:
-    """Return the text after its operators list ``version`` beside the old and serve it."""
+    """Return the configuration with ``version`` added to ``model`` and served."""
     old = configuration.models_by_name[model]
     versions = dict(old.versions_by_name)
     versions[version] = versions[old.serving]._replace(name=version)
--- a/packages/redwingscale-daemon/tests/unit/placement/test_demand.py
+++ b/packages/redwingscale-daemon/tests/unit/placement/test_demand.py
@@ -1,4 +1,4 @@
-"""Demand is counted, told in bounded tables and summed."""
+"""Demand is counted, published in bounded tables and summed."""
 
 import msgspec
 import pytest
@@ -16,7 +16,7 @@
 
 
 def _run(instances: int, rate: int, models: int = 1) -> tuple[GossipState, DemandTotals]:
-    """Let each instance see ``rate`` requests a second for each model for ten minutes."""
+    """Send each instance ``rate`` requests per second for each model for ten minutes."""
     names = [f"i{n}" for n in range(instances)]
     planner = GossipState("planner")
     totals = DemandTotals(planner, lambda: names)
@@ -38,14 +38,14 @@
     assert totals.rates_by_number()[model_number("m0")] == pytest.approx(6.0)
 
 
-def test_few_of_many_instances_tell_and_stand_for_all():
+def test_reporters_are_scaled_up_to_all_instances():
     planner, totals = _run(instances=48, rate=1)
 
     assert len(planner.entries()) == MAX_REPORTERS
     assert totals.rates_by_number()[model_number("m0")] == pytest.approx(48.0)
 
 
-def test_a_table_stays_small_however_many_models_are_asked_for():
+def test_table_size_is_bounded_for_any_number_of_models():
     planner, _ = _run(instances=1, rate=1, models=200)
 
     (entry,) = planner.entries()
@@ -53,15 +53,15 @@
     assert len(entry.payload) <= PAYLOAD_LIMIT_BYTES
 
 
-def test_steady_demand_is_told_no_more():
+def test_steady_demand_is_not_published_again():
     gossip = GossipState("i0")
-    told = []
-    gossip.subscribe("demand", lambda entry: told.append(second))
+    published_at = []
+    gossip.subscribe("demand", lambda entry: published_at.append(second))
     tracker = DemandTracker("i0", gossip, lambda: ["i0"])
     for second in range(0, 1800, 10):
         for _ in range(90 + second % 40):
             tracker.arrived("m0")
         tracker.step(float(second))
 
-    assert told
-    assert max(told) < 10 * HALF_LIFE_SECONDS
+    assert published_at
+    assert max(published_at) < 10 * HALF_LIFE_SECONDS
--- a/packages/redwingscale-daemon/tests/unit/placement/test_engine_watch.py
+++ b/packages/redwingscale-daemon/tests/unit/placement/test_engine_watch.py
@@ -1,4 +1,4 @@
-"""What the planner makes of engines that go quiet."""
+"""Availability of silent engines for the planner."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
     return {e: r.availability for e, r in watch.rooms(views, 0.1, now).items()}
 
 
-def test_a_quiet_engine_is_lost_after_its_grace(make_view):
+def test_silent_engine_is_lost_after_its_grace(make_view):
     watch = EngineWatch()
     for now in range(0, 40, 5):
         views = [make_view("e0", "a", 0.0), make_view("e1", "a", float(now))]
@@ -36,11 +36,12 @@
     assert "e0" not in availabilities
 
 
-def test_a_whole_domain_that_goes_quiet_is_cut_off_and_not_lost(make_view):
-    """Regions lose each other for minutes; the engines over there go on serving.
+def test_silent_failure_domain_is_partitioned_and_not_lost(make_view):
+    """Guards against reloads during a network partition.
 
-    Taking them for lost would load every model anew on this side, and unload
-    it again when the cut ends.
+    Regions are disconnected for minutes while the engines on the other side keep serving.
+    If they counted as lost, every model would be loaded again on this side, and unloaded
+    after the partition.
     """
     watch = EngineWatch()
     for now in range(0, 300, 5):
@@ -51,9 +52,10 @@
 
 
 def test_no_engine_is_lost_by_an_outage_of_the_platform(make_view):
-    """The platform is down for an hour: owners cannot renew, so no digest is told.
+    """Guards against a new placement of all models after an outage of the platform.
 
-    When it comes back the planner must not act on how old the digests are.
+    The platform is down for an hour: owners cannot renew their leases, so no digest is
+    published. After it, the planner must not act on the age of the digests.
     """
     watch = EngineWatch()
     views = [make_view("e0", "a", 0.0), make_view("e1", "b", 0.0)]
@@ -64,25 +66,26 @@
     assert set(availabilities.values()) == {Availability.OPEN}
 
 
-def test_an_engine_set_aside_gets_nothing_and_is_lost_after_its_grace(make_view):
-    """An engine reports nonsense; its owner sets it aside and stops all orders.
+def test_engine_set_aside_gets_no_loads_and_is_lost_after_its_grace(make_view):
+    """Guards against models that stay without their second replica.
 
-    Loads planned there would never be carried out, and its models stay one short.
+    An engine sends invalid reports, so its owner sets it aside and sends no orders. Loads
+    planned there would never be carried out.
     """
     watch = EngineWatch()
     view = make_view("e0", "a", 0.0)
     aside = view._replace(digest=view.digest._replace(set_aside=True))
 
-    seen = [
+    availabilities = [
         _availabilities(watch, [aside, make_view("e1", "a", float(now))], float(now))
         for now in range(0, 40, 5)
     ]
 
-    assert seen[0]["e0"] is Availability.SILENT
-    assert "e0" not in seen[-1]
+    assert availabilities[0]["e0"] is Availability.SILENT
+    assert "e0" not in availabilities[-1]
 
 
-def test_a_retiring_unit_takes_memory_and_answers_nothing(make_view):
+def test_retiring_unit_takes_memory_but_is_not_ready(make_view):
     view = make_view("e0", "a", 0.0)
     digest = view.digest._replace(residents=(ResidentUnit("m@v1", 5, True),), retiring=("m@v1",))
 
--- a/packages/redwingscale-daemon/tests/unit/placement/test_plan_maker.py
+++ b/packages/redwingscale-daemon/tests/unit/placement/test_plan_maker.py
@@ -1,4 +1,4 @@
-"""Plans made one after another against engines that carry them out."""
+"""Consecutive plans, carried out by simulated engines."""
 
 import random
 
@@ -18,7 +18,7 @@
     assert fleet.single_domain_models() == []
 
 
-def test_a_plan_that_need_not_change_does_not(example, make_fleet):
+def test_plan_stays_the_same_without_changes(example, make_fleet):
     fleet = make_fleet(example("accra"), *ACCRA[1:])
     fleet.settle()
     moves = fleet.moves
@@ -29,15 +29,15 @@
     assert fleet.moves == moves
 
 
-def test_lost_engine_moves_only_what_it_held(example, make_fleet):
-    """An engine dies for good.
+def test_lost_engine_moves_only_its_replicas(example, make_fleet):
+    """Guards against reloads on all engines after one of them is lost.
 
-    Its models answer from their second replicas. Packing all anew would reload
-    models on every engine; only the lost replicas may be loaded again.
+    The models of a lost engine are served by their second replicas. Only the lost replicas
+    may be loaded again; a placement from scratch would reload models on every engine.
     """
     fleet = make_fleet(example("accra"), *ACCRA[1:])
     fleet.settle()
-    lost, moves = len(fleet.held["e0"]), fleet.moves
+    lost, moves = len(fleet.residents_by_engine["e0"]), fleet.moves
 
     fleet.lose("e0")
     fleet.settle()
@@ -46,10 +46,11 @@
     assert fleet.moves - moves <= lost
 
 
-def test_a_short_silence_moves_nothing(example, make_fleet):
-    """An engine's owner restarts, and its digest stops for some seconds.
+def test_short_silence_moves_nothing(example, make_fleet):
+    """Guards against needless reloads when the owner of an engine restarts.
 
-    Taking this for a loss would reload tens of gigabytes for nothing.
+    The digest is not published for some seconds. If the engine counted as lost, tens of
+    gigabytes would be loaded again.
     """
     fleet = make_fleet(example("izmir"), *IZMIR[1:])
     fleet.settle()
@@ -64,18 +65,19 @@
     assert fleet.moves == moves
 
 
-def test_a_planner_that_has_not_heard_of_an_engine_takes_nothing_from_it(
+def test_planner_without_a_digest_of_an_engine_unloads_nothing_there(
     example, make_fleet, new_version
 ):
-    """A new instance becomes planner while a new version loads; no digest has come yet.
+    """Guards against an unload of the only ready version of a model.
 
-    It does not know that the old version answers there. A plan without it would
-    make the owner unload the only one that answers.
+    A new instance becomes planner while a new version loads, before it has received any
+    digest. It does not know that the old version is ready; a plan without that version
+    would make the owner unload it.
     """
     fleet = make_fleet(example("izmir"), *IZMIR[1:])
     fleet.settle()
     fleet.configuration = new_version(fleet.configuration, "fraud-screen", "v2")
-    fleet.broken = set(fleet.domains)
+    fleet.stalled = set(fleet.domains)
     fleet.step()
     before = fleet.ready_on("fraud-screen@v1")
 
@@ -86,14 +88,14 @@
     assert fleet.ready_on("fraud-screen@v1") == before
 
 
-def test_an_engine_whose_loads_never_end_does_not_close_the_gate(example, make_fleet):
-    """An engine takes every load and never finishes one.
+def test_engine_whose_loads_never_end_does_not_block_other_loads(example, make_fleet):
+    """Guards against an engine that starts every load and never finishes one.
 
-    Were its loads to count for ever against the store's limit, no other engine
+    If its loads counted against the limit of the weight store forever, no other engine
     would load anything again.
     """
     fleet = make_fleet(example("izmir", limited=True), *IZMIR[1:])
-    fleet.broken = {"e0"}
+    fleet.stalled = {"e0"}
     for _ in range(400):
         fleet.step()
 
@@ -101,10 +103,11 @@
     assert sum(bool(fleet.ready_on(u)) for u in units) > 0.7 * len(units)
 
 
-def test_first_replicas_take_the_room_of_spare_ones(example, make_fleet):
-    """Half of the engines go away; what is left holds each model just once.
+def test_first_replicas_replace_second_ones(example, make_fleet):
+    """Guards against models without any replica after engines are lost.
 
-    Second replicas that kept their room would leave other models unreachable.
+    The remaining engines have memory for one replica of each model. Second replicas that
+    stayed would leave other models unreachable.
     """
     fleet = make_fleet(example("izmir"), *IZMIR[1:])
     fleet.settle()
@@ -117,7 +120,7 @@
     assert [u for u in units if not fleet.ready_on(u)] == []
 
 
-def test_what_cannot_fit_is_left_out_by_demand(example, make_fleet):
+def test_models_with_demand_are_placed_first_if_not_all_fit(example, make_fleet):
     fleet = make_fleet(example("izmir"), "ab", 144.0)
     fleet.demand(fraud_screen=5.0, citizen_helper=4.0)
 
@@ -129,13 +132,13 @@
 
 
 @pytest.mark.parametrize(("name", "domains", "memory"), [IZMIR, ACCRA])
-def test_new_version_is_ready_before_the_old_one_goes(
+def test_new_version_is_ready_before_the_old_one_is_unloaded(
     example, make_fleet, new_version, unit, name, domains, memory
 ):
-    """Operators serve a new version of each model, one text after the other.
+    """Guards against a gap in service when operators serve a new version of a model.
 
-    The old version must answer until the new one is ready; dropping it first
-    leaves the callers of that model without an answer for the load's time.
+    The old version must stay ready until the new one is; if it were unloaded first, the
+    model would not be served while the new version loads.
     """
     rng = random.Random(7)
     fleet = make_fleet(example(name), domains, memory)
@@ -148,14 +151,15 @@
 
     fleet.settle()
     assert fleet.single_domain_models() == []
-    assert not any("@v1" in u for held in fleet.held.values() for u in held)
+    assert not any("@v1" in u for units in fleet.residents_by_engine.values() for u in units)
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_model_is_ever_without_a_ready_replica(example, make_fleet, seed):
-    """Demand moves tenfold at random while loads take random times.
+    """Guards against models without a ready replica while the plan changes.
 
-    The memory bound is asserted by the engines at every step.
+    Demand changes tenfold at random and loads take random times. The simulated engines
+    assert their memory limit at every step.
     """
     rng = random.Random(seed)
     fleet = make_fleet(example(rng.choice(["izmir", "accra"])), "abcabcabc", 110.0)
@@ -173,10 +177,11 @@
     assert fleet.single_domain_models() == []
 
 
-def test_loads_pass_the_gate_in_order(example, make_fleet):
-    """At a cold start all is missing; the store bears seven loads at once.
+def test_first_replicas_are_loaded_first_within_the_load_limit(example, make_fleet):
+    """Guards against an overload of the weight store at a cold start, and a slow one.
 
-    First replicas go first, so that each model answers as soon as can be.
+    No model is resident, and the store allows seven concurrent loads. First replicas are
+    loaded first, so that each model is ready as early as possible.
     """
     rng = random.Random(3)
     fleet = make_fleet(example("izmir", limited=True), *IZMIR[1:])
@@ -184,9 +189,11 @@
     bases: list[str] = []
     while len(bases) < models:
         fleet.step(rng)
-        held = [u for units in fleet.held.values() for u in units if ":" not in u]
-        bases += [u for u in held if u not in bases]
-        assert len(held) <= len(set(held)) + 1 or len(bases) == models
+        bases_resident = [
+            u for units in fleet.residents_by_engine.values() for u in units if ":" not in u
+        ]
+        bases += [u for u in bases_resident if u not in bases]
+        assert len(bases_resident) <= len(set(bases_resident)) + 1 or len(bases) == models
 
     for _ in range(300):
         fleet.step(rng)
@@ -195,7 +202,7 @@
     assert fleet.single_domain_models() == []
 
 
-def test_demand_that_is_worth_it_gets_further_replicas(example, make_fleet):
+def test_high_demand_adds_replicas(example, make_fleet):
     fleet = make_fleet(example("accra"), *ACCRA[1:])
     fleet.settle()
     hot = next(iter(fleet.configuration.models_by_name))
@@ -207,7 +214,7 @@
     assert fleet.single_domain_models() == []
 
 
-def test_demand_that_is_not_worth_its_moves_gets_none(example, make_fleet):
+def test_high_demand_adds_no_replicas_if_moves_are_forbidden(example, make_fleet):
     configuration = example("accra")
     policy = configuration.policy._replace(moves_weight=1.0)
     fleet = make_fleet(configuration._replace(policy=policy), *ACCRA[1:])
@@ -220,11 +227,11 @@
     assert fleet.moves == moves
 
 
-def test_demand_that_comes_and_goes_does_not_make_replicas_do_so(example, make_fleet):
-    """Three models take turns in being asked for ten times as much as usual.
+def test_alternating_demand_does_not_move_replicas_back_and_forth(example, make_fleet):
+    """Guards against loads and unloads at each change of demand.
 
-    Following each turn would load and unload at every one of them; the replicas
-    of the first turns serve the later ones too. Measured: 45 moves in all.
+    Three models take turns in getting ten times their usual demand. The replicas of the
+    first turns can serve the later ones as well; 45 moves in all are enough.
     """
     fleet = make_fleet(example("accra"), *ACCRA[1:])
     fleet.settle()
--- a/packages/redwingscale-daemon/tests/unit/test_digest_filter.py
+++ b/packages/redwingscale-daemon/tests/unit/test_digest_filter.py
@@ -1,4 +1,4 @@
-"""What owners tell of an engine, and what they read."""
+"""Digests that owners publish, and plans that they read."""
 
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
 from redwingscale_daemon._internal.models.report import Digest, ResidentUnit
@@ -10,7 +10,7 @@
 DIGEST = Digest("e1", 1, False, 10, (ResidentUnit("m@v1", 1, True),), 4, 0, 16)
 
 
-def test_what_decides_is_told_at_once_and_the_rest_at_the_refresh():
+def test_significant_changes_are_published_at_once_and_others_at_the_refresh():
     clock = FakeClock()
     digest_filter = DigestFilter(clock.read)
 
@@ -29,7 +29,7 @@
 
 
 class CountingStore:
-    """A plan store that fails from its second read on."""
+    """A plan store whose reads fail after the first one."""
 
     def __init__(self):
         self.reads = 0
@@ -41,10 +41,11 @@
         return Plan(1, 1, {})
 
 
-def test_owners_read_once_a_second_and_keep_the_plan_through_an_outage():
-    """
-    Every owner of an instance asks for the plan at each step; then the table
-    goes down. The owners go on with the plan that they have.
+def test_plan_is_read_once_a_second_and_kept_through_an_outage():
+    """Guards against a read per owner and step, and against owners without a plan.
+
+    Every owner of an instance reads the plan at each step; then the table is down. The
+    owners continue with the last plan.
     """
     clock, store = FakeClock(), CountingStore()
     follower = PlanFollower(store, clock.read)
