--- a/packages/redwingscale-daemon/tests/unit/test_drains.py
+++ b/packages/redwingscale-daemon/tests/unit/test_drains.py
@@ -1,4 +1,4 @@
-"""Units that retire: no new requests, and no unload before the last one has ended."""
+"""Retiring units get no new requests, and are unloaded only after their last request."""
 
 import pytest
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
@@ -18,7 +18,7 @@
 
 
 class Scene:
-    """Two instances whose boards tell each other everything; ``i1`` owns the engine."""
+    """Two instances with the same gossip state; ``i1`` owns the engine."""
 
     def __init__(self):
         self.clock = FakeClock()
@@ -71,10 +71,9 @@
 
 @pytest.mark.parametrize("unit", ["m@v1", ""])
 def test_unit_is_drained_when_the_last_request_has_ended(scene, unit):
-    """A caller's answer is cut in the middle.
+    """Guards against an unload in the middle of a response.
 
-    Another instance than the owner has a stream running on the unit when the
-    owner decides to unload it.
+    Another instance than the owner has a stream on the unit when the owner retires it.
     """
     with scene.in_flight[1].at("e1", unit):
         scene.clock.advance(0.1)
@@ -88,8 +87,11 @@
         assert scene.retirements.drained() == {"m@v1"}
 
 
-def test_request_that_chose_its_engine_just_before_is_waited_for(scene):
-    """A request is cut that was routed just before its instance heard of the retirement."""
+def test_request_routed_just_before_the_retirement_delays_the_drain(scene):
+    """Guards against an unload under a request whose routing preceded the retirement.
+
+    Its instance counts it as in flight only after it has received the retirement.
+    """
     scene.retire({"m@v1"}, fence=1)
     scene.reporters[1].step()
     with scene.in_flight[1].at("e1", "m@v1"):
@@ -97,11 +99,11 @@
         assert scene.retirements.drained() == set()
 
 
-def test_old_word_does_not_count_for_a_new_retirement(scene):
-    """A unit that was kept after all and is used again goes under its requests.
+def test_old_acknowledgement_does_not_count_for_a_new_retirement(scene):
+    """Guards against an unload of a unit that was returned to use and has requests.
 
-    The plan changed back and forth; the instances' word from the first time
-    is still there the second time.
+    The plan changes back and forth, and the acknowledgements of the first retirement are
+    still stored during the second.
     """
     scene.retire({"m@v1"}, fence=1)
     scene.report()
@@ -117,8 +119,8 @@
     assert scene.retirements.drained() == {"m@v1"}
 
 
-def test_dead_instance_is_waited_for_two_leases(scene):
-    """A plan is stuck for good behind an instance that died but is still listed."""
+def test_crashed_instance_delays_the_drain_for_two_leases(scene):
+    """Guards against a drain that waits forever for a crashed instance that is still listed."""
     scene.gossip_states[1]._forward.clear()
     scene.retire({"m@v1"}, fence=1)
     scene.report(5.0)
--- a/packages/redwingscale-daemon/tests/unit/test_owner_failures.py
+++ b/packages/redwingscale-daemon/tests/unit/test_owner_failures.py
@@ -1,4 +1,4 @@
-"""Failures of owners one by one, each told in order; all of them mixed: test_owner_histories."""
+"""Single failures of owners, step by step; test_owner_histories has random combinations."""
 
 import random
 from collections import deque
@@ -10,7 +10,7 @@
 
 
 class Scene:
-    """A world whose next faults are given; instance 0 owns the engine."""
+    """A world with a queue of the next faults; instance 0 owns the engine."""
 
     def __init__(self, checks_fencing):
         self.queue = deque()
@@ -30,7 +30,7 @@
     def residents(self):
         return {r.unit for r in self.world.engine.memory.residents()}
 
-    def held(self):
+    def owns_engine(self):
         return [o.ownership.grant_of(ENGINE) is not None for o in self.world.owners]
 
 
@@ -38,78 +38,78 @@
 def scene(request):
     scene = Scene(request.param)
     yield scene
-    assert not scene.queue, "a fault of the story never struck"
+    assert not scene.queue, "a queued fault was not injected"
 
 
-def test_holder_paused_right_before_its_order_sends_nothing(scene):
-    """Memory runs out under a running model: two instances load into the same room.
+def test_owner_paused_right_before_its_order_sends_nothing(scene):
+    """Guards against two instances that load into the same memory.
 
-    The owner has checked its lease and is paused before the order's bytes go
-    out; another takes over, reads the engine and orders; the first one wakes.
+    The owner has checked its lease and is paused before it sends the order; another
+    instance takes over, polls the engine and sends orders; then the first one resumes.
     """
     scene.world.set_plan(["a@v1"])
     scene.queue.append((Point.ORDER, Fault.PAUSED_BEFORE))
     scene.work(0)
     scene.work(1, 40)
 
-    assert scene.held() == [False, True, False]
+    assert scene.owns_engine() == [False, True, False]
     assert scene.residents() == {"a@v1"}
     assert scene.world.violations == []
 
 
-def test_renewal_after_a_lapse_gives_nothing_back(scene):
-    """Two instances send orders to one engine.
+def test_renewal_after_a_lapse_restores_no_ownership(scene):
+    """Guards against two instances that send orders to one engine.
 
-    The owner stands still past its lease and is succeeded. Its session row is
-    as it was, so its renewal succeeds when it wakes.
+    The owner is paused past its lease, and another instance takes over. The session row is
+    unchanged, so the renewal of the first owner succeeds when it resumes.
     """
     scene.work(1)
     scene.world.advance(LEASE_SECONDS + 2)
     scene.work(1, 2)
     scene.work(0)
 
-    assert scene.held() == [False, True, False]
+    assert scene.owns_engine() == [False, True, False]
     assert scene.world.violations == []
 
 
-def test_second_process_of_an_instance_waits_out_the_first(scene):
-    """Two processes of one id both send orders.
+def test_second_process_of_an_instance_waits_for_the_lease_of_the_first(scene):
+    """Guards against two processes of one instance id that both send orders.
 
-    An instance is taken for dead and replaced under its id while its first
-    process lives on and still counts on its lease.
+    An instance is assumed to have crashed and is replaced under its id, while its first
+    process is still running with a valid lease.
     """
     scene.world.double_instance(0)
     scene.work(3, 3)
-    assert scene.held() == [True, False, False, False]
+    assert scene.owns_engine() == [True, False, False, False]
 
     scene.work(3, 20)
 
-    assert scene.held() == [False, False, False, True]
+    assert scene.owns_engine() == [False, False, False, True]
     assert scene.world.violations == []
 
 
 def test_lost_reply_to_a_takeover_is_resolved(scene):
-    """An engine stays without an owner for good.
+    """Guards against an engine that stays without an active owner.
 
-    The row was written, but reply and read-back are lost: it names an instance
-    that does not know of it, and whose session is alive.
+    The row was written, but the reply and the read-back are lost: the row names an
+    instance that has no grant, and whose session is valid.
     """
     scene.world.hand_over(0)
     scene.queue.extend([(Point.COMMIT, None), (Point.COMMIT, Fault.REPLY_LOST)])
     scene.queue.append((Point.READ, Fault.REFUSED))
     scene.work(1)
-    assert scene.held() == [False, False, False]
+    assert scene.owns_engine() == [False, False, False]
 
     scene.work(1)
 
-    assert scene.held() == [False, True, False]
+    assert scene.owns_engine() == [False, True, False]
 
 
-def test_successor_counts_an_order_that_is_still_on_its_way(scene):
-    """Memory runs out under a running model.
+def test_successor_reserves_memory_for_an_order_in_flight(scene):
+    """Guards against an overcommit of memory by a late order.
 
-    An order is late and its owner is gone. The plan has changed since: the
-    successor sees an empty engine and has another model to load.
+    An order is late and its sender no longer owns the engine. The plan has changed since:
+    the successor sees an empty engine and has another model to load.
     """
     scene.world.set_plan(["a@v1"])
     scene.queue.append((Point.ORDER, Fault.LATE))
@@ -123,10 +123,10 @@
 
 
 def test_owner_killed_between_intent_and_order(scene):
-    """A model is never loaded again.
+    """Guards against a model that is never loaded again.
 
-    The owner wrote the intent and died before the order went out. Nobody can
-    tell that from an order that is late, until it is certainly dead.
+    The owner crashed after it wrote the intent and before it sent the order. Its successor
+    cannot distinguish that from a late order until the order can no longer take effect.
     """
     scene.world.set_plan(["a@v1"])
     scene.queue.append((Point.ORDER, Fault.KILLED_BEFORE))
@@ -138,8 +138,8 @@
 
 
 @pytest.mark.parametrize("fault", [Fault.LOST, Fault.LATE, Fault.DOUBLED, Fault.REPLY_LOST])
-def test_model_comes_whatever_happens_to_its_order(scene, fault):
-    """A model stays away, or is loaded twice, after one order went wrong."""
+def test_model_is_loaded_whatever_fault_affects_its_order(scene, fault):
+    """Guards against a model that is not loaded, or loaded twice, after a faulty order."""
     scene.world.set_plan(["a@v1"])
     scene.queue.append((Point.ORDER, fault))
     scene.work(0, 60)
@@ -151,11 +151,10 @@
     assert IntentStore(table).read(ENGINE).intents == []
 
 
-def test_late_unload_does_not_take_a_model_that_came_back(scene):
-    """Callers lose a model that the plan wants, some seconds after it answered.
+def test_late_unload_does_not_remove_a_model_that_is_planned_again(scene):
+    """Guards against a late unload of a model that the plan lists.
 
-    Its unload is late. The plan changes back before it arrives, the unit still
-    looks resident, and then it goes.
+    The plan changes back before the unload arrives, when the unit is still resident.
     """
     scene.world.set_plan(["a@v1"])
     scene.work(0, 20)
@@ -169,11 +168,11 @@
     assert scene.world.violations == []
 
 
-def test_table_down_for_all(scene):
-    """While the store is down, engines that ignore fencing get no order at all.
+def test_table_is_down_for_all_instances(scene):
+    """While the store is down, engines without fencing get no orders.
 
-    Nobody can take over, but nobody can show that either once its lease is
-    over; engines that check fencing are safe with any holder.
+    No instance can take over, but an owner whose lease has lapsed cannot verify that.
+    Engines that check fencing reject stale orders themselves.
     """
     scene.world.down = True
     scene.work(0, 20)
--- a/packages/redwingscale-daemon/tests/unit/test_owner_histories.py
+++ b/packages/redwingscale-daemon/tests/unit/test_owner_histories.py
@@ -1,4 +1,4 @@
-"""Owners, table and engine under faults in any order; see redwingscale_standins.histories."""
+"""Owners, table and engine under random faults; see redwingscale_standins.histories."""
 
 import random
 from collections import deque
@@ -23,10 +23,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_memory_is_never_overcommitted(seed):
-    """A model that answers is pushed out of memory by another one's load.
+    """Guards against a load that does not fit beside the resident models.
 
-    Orders are lost, late and doubled, replies are lost, owners are paused or
-    killed between intent and order, and their successors and the plan go on.
+    Orders are lost, late and duplicated, replies are lost, and owners are paused or killed
+    between intent and order, while their successors continue and the plan changes.
     """
     judgement = run_history(seed)
 
--- a/packages/redwingscale-daemon/tests/unit/test_owners_stop.py
+++ b/packages/redwingscale-daemon/tests/unit/test_owners_stop.py
@@ -1,4 +1,4 @@
-"""An instance that ends gives every engine back for good."""
+"""An instance that stops releases all its engines permanently."""
 
 import pytest
 from redwingscale_daemon._internal.placement.owners import Owners
@@ -9,25 +9,25 @@
 
 
 class _Recorder:
-    """In place of the ownership: remembers what is held."""
+    """Replaces the ownership, and records the engines that are owned."""
 
     def __init__(self):
-        self.held = set()
+        self.owned = set()
         self.ended = False
 
     def release(self, engine):
-        self.held.discard(engine)
+        self.owned.discard(engine)
 
     def end(self):
         self.ended = True
 
 
 class _Task:
-    def __init__(self, held):
-        self._held = held
+    def __init__(self, owned):
+        self._owned = owned
 
     def start(self):
-        self._held.add(_Engine.id)
+        self._owned.add(_Engine.id)
 
     def stop(self):
         pass
@@ -42,15 +42,15 @@
 def owners(ownership, monkeypatch):
     made = Owners(None, None, None, None, ownership, lambda engine: None)
     monkeypatch.setattr(made, "_assigned_engines", lambda: {_Engine.id})
-    monkeypatch.setattr(made, "_start", lambda engine: _Task(ownership.held).start())
+    monkeypatch.setattr(made, "_start", lambda engine: _Task(ownership.owned).start())
     return made
 
 
-def test_step_after_the_stop_takes_nothing(owners, ownership):
-    # A planned stop gives the engines back; the thread that looks for engines has
-    # one more turn before it is stopped and takes them again. The process ends as
-    # their owner, and nobody may give them orders until its lease has run out.
+def test_step_after_the_stop_acquires_nothing(owners, ownership):
+    # A planned stop releases the engines. If the thread that calls `step` ran once more
+    # and acquired them again, the process would end as their owner, and no other instance
+    # could send them orders until its lease expired.
     owners.stop()
     owners.step()
     assert ownership.ended
-    assert ownership.held == set()
+    assert ownership.owned == set()
--- a/packages/redwingscale-daemon/tests/unit/test_replacements.py
+++ b/packages/redwingscale-daemon/tests/unit/test_replacements.py
@@ -1,4 +1,4 @@
-"""What may leave an engine while the plan is stuck."""
+"""Units that an engine may unload while the plan is blocked."""
 
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.member import EngineMember
@@ -10,13 +10,12 @@
 UNITS_BY_ENGINE = {"e1": ("last@v1", "spare@v1", "old@v1"), "e2": ("spare@v1",), "e3": ()}
 
 
-def test_the_last_copy_of_a_model_is_never_spare():
-    """
-    Callers of a listed model get `not_resident` while the plan is stuck.
+def test_last_copy_of_a_model_is_never_unloaded():
+    """Guards against `not_resident` answers for a listed model while the plan is blocked.
 
-    The plan wants e1's units at e3, where a load fails again and again; after
-    a while e1 gives up what it holds. Only the unit that e2 answers too may go, and
-    the old version whose successor waits for its room.
+    The plan moves the units of e1 to e3, where loads fail repeatedly; after a timeout, e1
+    may unload units without a replacement. These are only the unit that is also ready on
+    e2, and the old version whose new version waits for its memory.
     """
     gossip = GossipState("i1")
     directory = Directory(gossip)
