--- a/packages/redwingscale-daemon/tests/functional/test_owners.py
+++ b/packages/redwingscale-daemon/tests/functional/test_owners.py
@@ -1,4 +1,4 @@
-"""Owners of engines in a deployment of real processes: frozen, and with engines that err."""
+"""Owners of engines in a deployment of real processes: suspended, or with faulty engines."""
 
 import itertools
 import json
@@ -28,26 +28,26 @@
 
 
 class Scene:
-    """Two instances of one failure domain before one engine."""
+    """Two instances and one engine in one failure domain."""
 
     def __init__(self, make_deployment, vendor, izmir_text):
         engine = EngineShape("e1", "a", vendor, 2, 160 * GIGABYTE)
         shape = Shape("small", "r", {"i1": "a", "i2": "a"}, (engine,), (), 7)
         self.engine = engine
-        self.whole = json.loads(izmir_text)
+        self.configuration = json.loads(izmir_text)
         self.deployment = make_deployment(shape)
         self.client = Client(self.deployment)
         self.version = 0
         self.http = urllib3.PoolManager(retries=False)
 
     def apply(self, instance, models):
-        """Put a text with just ``models`` in force."""
-        service = self.whole["services"]["listing-vetting"]
+        """Apply a configuration with only ``models``."""
+        service = self.configuration["services"]["listing-vetting"]
         needs = [d for d in service["depends_on"] if d["model"] in models]
-        listed = {name: self.whole["models"][name] for name in models}
+        listed = {name: self.configuration["models"][name] for name in models}
         services = {"listing-vetting": service | {"depends_on": needs}}
         parts = {"models": listed, "services": services, "weight_store": FAST_STORE}
-        text = json.dumps(self.whole | parts)
+        text = json.dumps(self.configuration | parts)
         answer = self.client.apply(instance, text, self.version)
         assert answer.status == 200, answer.body
         self.version += 1
@@ -57,20 +57,20 @@
         return self.http.request("GET", f"{url}/admin/record").json()
 
     def owner(self):
-        """Return holder and fence once the engine is with the instance it falls to."""
+        """Return holder and fence once the assigned instance owns the engine."""
         first = rendezvous_order("e1", ["i1", "i2"])[0]
         self.wait(lambda: self.holder()[0] == first, f"{first} the owner")
         return self.holder()
 
     def holder(self):
-        """Return holder and fence of the engine as the table has them."""
+        """Return holder and fence of the engine according to the table."""
         url = f"{self.deployment.platform_url}/table/rows?key=owners/e1"
         row = self.http.request("GET", url).json()["owners/e1"]
         value = row["value"] if isinstance(row, dict) else row[1]
         return value["holder"], value["fence"]
 
     def fences_by_order(self):
-        """Return the fences of the orders that the instances logged as sent, or as unsure."""
+        """Return the fences of the orders that the instances logged as sent or unsure."""
         logs = [self.deployment._directory / "logs" / f"{i}.log" for i in ("i1", "i2")]
         found = [re.findall(r" order=(\w+) .*fence=(\d+)", log.read_text()) for log in logs]
         return {order: int(fence) for order, fence in itertools.chain(*found)}
@@ -88,18 +88,19 @@
     return Scene(make_deployment, request.param, izmir_text)
 
 
-def test_owner_frozen_past_its_lease_sends_no_order(scene):
-    """Memory runs out, or a model is loaded twice, after an instance woke up.
+def test_owner_suspended_past_its_lease_sends_no_order(scene):
+    """Guards against orders of an instance that resumes after its lease has expired.
 
-    The owner of an engine is frozen past its lease and succeeded. The text
-    changes, so that there is something to load; then the frozen one wakes. It
-    may take the engine back, under a fence of its own, but send nothing before.
+    The owner of an engine is suspended past its lease, and the other instance takes over.
+    The configuration changes, so that there are models to load; then the first instance
+    resumes. It may acquire the engine again under a new fence, but must not send orders
+    before that.
     """
     scene.apply("i1", MODELS[:2])
     scene.client.wait_until_resident("i1", units_of(MODELS[:2]))
-    frozen, old_fence = scene.owner()
-    other = "i2" if frozen == "i1" else "i1"
-    process = scene.deployment.members_by_id[frozen].process
+    suspended, old_fence = scene.owner()
+    other = "i2" if suspended == "i1" else "i1"
+    process = scene.deployment.members_by_id[suspended].process
     process.signal(signal.SIGSTOP)
     try:
         scene.wait(lambda: scene.holder()[0] == other, "a successor")
@@ -107,7 +108,7 @@
         scene.apply(other, MODELS)
     finally:
         process.signal(signal.SIGCONT)
-    for instance in (other, frozen):
+    for instance in (other, suspended):
         scene.client.wait_until_resident(instance, UNITS)
 
     fences = scene.fences_by_order()
@@ -119,16 +120,16 @@
 
 
 @pytest.mark.parametrize("resident", [{}, FOREIGN], ids=["empty", "other models"])
-def test_engine_that_comes_back_is_filled_again(scene, resident):
-    """Callers lose their models for good after an engine's process was replaced.
+def test_restarted_engine_is_loaded_again(scene, resident):
+    """Guards against models that stay unloaded after the process of an engine is replaced.
 
-    It dies and comes back under its id at another address, empty or with
-    models that nobody planned there and that leave no room.
+    The engine crashes and restarts under its id at another address, empty or with unplanned
+    models that leave no free memory.
     """
     scene.apply("i1", MODELS)
     scene.client.wait_until_resident("i2", UNITS)
     scene.deployment.members_by_id["e1"].process.kill()
-    scene.wait(lambda: not scene.routed("i2"), "the dead engine set aside")
+    scene.wait(lambda: not scene.routed("i2"), "the crashed engine set aside")
     scene.deployment.start_engine(scene.engine, resident)
 
     scene.client.wait_until_resident("i2", UNITS)
@@ -139,10 +140,10 @@
     assert units == set(resident)
 
 
-def test_engine_with_nonsense_reports_is_set_aside(scene):
-    """One broken engine takes its instance down, or is filled until it breaks.
+def test_engine_with_invalid_reports_is_set_aside(scene):
+    """Guards against an engine whose invalid reports stop its owner or cause more loads.
 
-    It answers polls with a page of its own and later with sound reports again.
+    The engine answers polls with an error page, and later with valid reports again.
     """
     scene.apply("i1", MODELS)
     scene.client.wait_until_resident("i2", UNITS)
@@ -160,22 +161,22 @@
 
 
 def test_unload_waits_for_the_last_request(scene):
-    """A caller's answer breaks off because its model was taken out of the text.
+    """Guards against a cut response when its model is removed from the configuration.
 
-    The request came in before the change, through an instance that does not
-    own the engine, and takes a while.
+    The request arrived before the change, through an instance that does not own the
+    engine, and is still running.
     """
     scene.apply("i1", MODELS)
     scene.client.wait_until_resident("i2", UNITS)
     other = "i2" if scene.owner()[0] == "i1" else "i1"
     with ThreadPoolExecutor(1) as pool:
-        asked = pool.submit(scene.client.complete, other, "clerks", MODELS[0], "lot 3", 1500)
+        response = pool.submit(scene.client.complete, other, "clerks", MODELS[0], "lot 3", 1500)
         scene.wait(lambda: scene.record()["started"], "the request at the engine")
         scene.apply(other, MODELS[1:])
-        # The adapters, which the request does not use, may go before it has ended.
+        # The adapters, which the request does not use, may be unloaded before it has ended.
         scene.wait(lambda: scene.record()["unloads"] == 5, "the base's unload")
         assert scene.record()["finished"] == 1
-        answer = asked.result()
+        answer = response.result()
 
     assert answer.text == answer_text(f"{MODELS[0]}@v1", "lot 3", 1500)
     unloaded = [a["unit"] for a in scene.record()["accepted"] if not a["load"]]
