--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/session.py
@@ -29,7 +29,7 @@
     """Renews the row ``sessions/<instance>``; valid until a time on this process's own clock.
 
     No clock is shared: the lease holder counts the lease from before it sent the renewal,
-    another instance from when it first read the row unchanged. So the holder's lease
+    another instance from when it first read the renewed row. So the holder's lease
     always expires first, however slow the reply or the read was.
 
     An instance that takes over writes the rows of the names that it takes, never this one,
@@ -62,7 +62,7 @@
 
     @property
     def epoch(self) -> int:
-        """The number of times that the session has lapsed or started."""
+        """A number that rises whenever the session starts, is lost or ends."""
         return self._lease.epoch
 
     def is_valid(self) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_maker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_maker.py
@@ -1,4 +1,4 @@
-"""Computes the next plan from the last one, without any input or output."""
+"""Computes the next plan from the last one, without access to the network."""
 
 from collections.abc import Iterable, Mapping
 
