--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/rate_limits.py
@@ -11,7 +11,7 @@
 
 from redwingscale_daemon._internal.fleet.rate_limit_messages import PermitEntry, RateLimitEntry
 from redwingscale_daemon._internal.fleet.send_permits import SendPermits
-from redwingscale_daemon._internal.utils.fading_rate import FadingRate
+from redwingscale_daemon._internal.utils.decaying_rate import DecayingRate
 
 # The end of a limit is announced for this long; an instance that receives no such entry
 # learns of the end from an answer.
@@ -67,7 +67,9 @@
         self._wanted_at: dict[str, float] = {}
         # When each began to wait, by upstream.
         self._waiting_since: dict[str, list[float]] = defaultdict(list)
-        self._used: dict[str, FadingRate] = defaultdict(lambda: FadingRate(USED_HALF_LIFE_SECONDS))
+        self._used: dict[str, DecayingRate] = defaultdict(
+            lambda: DecayingRate(USED_HALF_LIFE_SECONDS)
+        )
         # Over all instances, as announced by the leader.
         self._all_waiting: dict[str, int] = {}
 
@@ -114,7 +116,7 @@
         with self._lock:
             drawn = self._permits.draw(upstream_id, per_second)
             if drawn:
-                self._used[upstream_id] = self._used[upstream_id].plus(1.0, self._clock())
+                self._used[upstream_id] = self._used[upstream_id].with_events(1.0, self._clock())
             return drawn
 
     @contextmanager
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/swaps/demand.py
@@ -13,7 +13,7 @@
     ModelRates,
     UnitRate,
 )
-from redwingscale_daemon._internal.utils.fading_rate import FadingRate
+from redwingscale_daemon._internal.utils.decaying_rate import DecayingRate
 
 # Demand moves from one model to another within five seconds: a steady rate fades to half in this
 # time.
@@ -52,8 +52,8 @@
     max_wait_seconds: float
 
 
-_ZERO_STEADY = FadingRate(STEADY_HALF_LIFE_SECONDS)
-_ZERO_RECENT = FadingRate(RECENT_HALF_LIFE_SECONDS)
+_ZERO_STEADY = DecayingRate(STEADY_HALF_LIFE_SECONDS)
+_ZERO_RECENT = DecayingRate(RECENT_HALF_LIFE_SECONDS)
 
 
 class Demand:
@@ -61,11 +61,11 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._rates: dict[tuple[str, Unit], FadingRate] = {}
-        self._model_rates: dict[tuple[str, str], FadingRate] = {}
-        self._recent_rates: dict[tuple[str, str], FadingRate] = {}
-        self._overload_rates: dict[tuple[str, str], FadingRate] = {}
-        self._adapter_overload_rates: dict[tuple[str, Unit], FadingRate] = {}
+        self._rates: dict[tuple[str, Unit], DecayingRate] = {}
+        self._model_rates: dict[tuple[str, str], DecayingRate] = {}
+        self._recent_rates: dict[tuple[str, str], DecayingRate] = {}
+        self._overload_rates: dict[tuple[str, str], DecayingRate] = {}
+        self._adapter_overload_rates: dict[tuple[str, Unit], DecayingRate] = {}
         self._peaks: dict[tuple[str, str], float] = {}
         self._missing_since: dict[tuple[str, str], float] = {}
         self._waiting: dict[str, tuple[float, list[DemandEntry]]] = {}
@@ -250,34 +250,34 @@
         self._first_arrival_at = first if current is None else min(current, first)
         for received in snapshot.models:
             key = (received.service, received.model)
-            self._model_rates[key] = self._model_rates.get(key, _ZERO_STEADY).raised(
+            self._model_rates[key] = self._model_rates.get(key, _ZERO_STEADY).increased_by(
                 received.steady, now
             )
-            self._recent_rates[key] = self._recent_rates.get(key, _ZERO_RECENT).raised(
+            self._recent_rates[key] = self._recent_rates.get(key, _ZERO_RECENT).increased_by(
                 received.recent, now
             )
-            self._overload_rates[key] = self._overload_rates.get(key, _ZERO_RECENT).raised(
+            self._overload_rates[key] = self._overload_rates.get(key, _ZERO_RECENT).increased_by(
                 received.overloads, now
             )
             if received.peak:
                 self._peaks[key] = self._peaks.get(key, 0.0) + received.peak
         for entry in snapshot.units:
             unit = (entry.service, Unit(entry.model, entry.adapter))
-            self._rates[unit] = self._rates.get(unit, _ZERO_STEADY).raised(entry.steady, now)
+            self._rates[unit] = self._rates.get(unit, _ZERO_STEADY).increased_by(entry.steady, now)
 
     def _count(self, entry: DemandEntry, now: float) -> None:
         key = (entry.service, Unit(entry.model, entry.adapter))
-        self._rates[key] = self._rates.get(key, _ZERO_STEADY).plus(entry.arrivals, now)
+        self._rates[key] = self._rates.get(key, _ZERO_STEADY).with_events(entry.arrivals, now)
         model = (entry.service, entry.model)
-        steady = self._model_rates.get(model, _ZERO_STEADY).plus(entry.arrivals, now)
-        recent = self._recent_rates.get(model, _ZERO_RECENT).plus(entry.arrivals, now)
-        overloads = self._overload_rates.get(model, _ZERO_RECENT).plus(entry.overloads, now)
+        steady = self._model_rates.get(model, _ZERO_STEADY).with_events(entry.arrivals, now)
+        recent = self._recent_rates.get(model, _ZERO_RECENT).with_events(entry.arrivals, now)
+        overloads = self._overload_rates.get(model, _ZERO_RECENT).with_events(entry.overloads, now)
         self._model_rates[model] = steady
         self._recent_rates[model] = recent
         self._overload_rates[model] = overloads
         if entry.overloads and entry.adapter:
             unit = (entry.service, Unit(entry.model, entry.adapter))
             before = self._adapter_overload_rates.get(unit, _ZERO_RECENT)
-            self._adapter_overload_rates[unit] = before.plus(entry.overloads, now)
+            self._adapter_overload_rates[unit] = before.with_events(entry.overloads, now)
         if entry.arrivals:
             self._peaks[model] = max(self._peaks.get(model, 0.0), steady.per_second)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/fading_rate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/decaying_rate.py
@@ -7,22 +7,22 @@
 _PER_HALF_LIFE = math.log(2)
 
 
-class FadingRate(NamedTuple):
-    """Events a second, each counted less the longer ago it was: half after ``half_seconds``."""
+class DecayingRate(NamedTuple):
+    """Events a second; the weight of each event halves every ``half_life_seconds``."""
 
-    half_seconds: float
+    half_life_seconds: float
     per_second: float = 0.0
     at: float = 0.0
 
     def now(self, now: float) -> float:
         """Return the rate at ``now``, monotonic."""
-        return self.per_second * 0.5 ** ((now - self.at) / self.half_seconds)
+        return self.per_second * 0.5 ** ((now - self.at) / self.half_life_seconds)
 
-    def plus(self, events: float, now: float) -> "FadingRate":
+    def with_events(self, events: float, now: float) -> "DecayingRate":
         """Return the rate with ``events`` more, which have come just now."""
-        added = events * _PER_HALF_LIFE / self.half_seconds
-        return self.raised(added, now)
+        added = events * _PER_HALF_LIFE / self.half_life_seconds
+        return self.increased_by(added, now)
 
-    def raised(self, per_second: float, now: float) -> "FadingRate":
+    def increased_by(self, per_second: float, now: float) -> "DecayingRate":
         """Return a rate that is higher by ``per_second``."""
-        return FadingRate(self.half_seconds, self.now(now) + per_second, now)
+        return DecayingRate(self.half_life_seconds, self.now(now) + per_second, now)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_account.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from redwingscale_daemon._internal.utils.fading_rate import FadingRate
+from redwingscale_daemon._internal.utils.decaying_rate import DecayingRate
 from redwingscale_daemon._internal.workspaces.use_messages import DrawnEntry, GrantEntry
 
 OFFERED_HALF_LIFE_SECONDS = 0.7
@@ -35,7 +35,7 @@
 
     def __init__(self, now: float) -> None:
         # The demand in units a second, whether admitted or refused.
-        self.offered = FadingRate(OFFERED_HALF_LIFE_SECONDS, at=now)
+        self.offered = DecayingRate(OFFERED_HALF_LIFE_SECONDS, at=now)
         self.level: float | None = None
         self.admitted_since_update = 0.0
         self.grant: GrantEntry | None = None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/workspaces/use_limiter.py
@@ -84,7 +84,7 @@
         with self._lock:
             account = self._account(workspace.name, now)
             account.reset_after_update(self._received_at)
-            account.offered = account.offered.plus(cost, now)
+            account.offered = account.offered.with_events(cost, now)
             allowance = self._allowance(account, limit, now)
             left = account.refill(allowance, cost, now)
             if self._fits(account, cost, allowance):
