--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/cli.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/cli.py
@@ -39,9 +39,9 @@
     configure_logs(settings.telemetry.log_level, instance=settings.instance.id)
     # Imported here: a settings check needs none of it.
     from redwingscale_daemon._internal.composition.root import build_instance
-    from redwingscale_daemon._internal.utils.link_threads import bound_link_threads
+    from redwingscale_daemon._internal.utils.link_threads import limit_link_threads
 
-    bound_link_threads()
+    limit_link_threads()
     build_instance(settings).run()
 
 
@@ -51,9 +51,9 @@
         return
     log_to_stdout(settings.log_level, instance=settings.instance)
     from redwingscale_daemon._internal.composition.ingress import build_ingress
-    from redwingscale_daemon._internal.utils.link_threads import bound_link_threads
+    from redwingscale_daemon._internal.utils.link_threads import limit_link_threads
 
-    bound_link_threads()
+    limit_link_threads()
 
     code = build_ingress(settings, lambda: _reload(settings_file, settings)).run()
     # Ends the threads that wait for the store or a peer without waiting for them; a
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/link_threads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/link_threads.py
@@ -8,7 +8,7 @@
 OTHER_THREADS = 1
 
 
-def bound_link_threads() -> None:
+def limit_link_threads() -> None:
     """Set the library's start parameters; they count from its first socket in a process.
 
     Without them it starts 30 threads on 8 cores, whatever it has to do.
