--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/cli.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/cli.py
@@ -19,7 +19,7 @@
 
 Loaded = TypeVar("Loaded")
 
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 app = typer.Typer(add_completion=False)
 
@@ -30,10 +30,10 @@
     check: Annotated[bool, typer.Option(help="Only check the settings.")] = False,
 ) -> None:
     """Run one instance until SIGTERM; exit with 2 when the settings are not valid."""
-    if _checked(is_ingress, settings_file):
+    if _load_or_exit(is_ingress, settings_file):
         _run_ingress(settings_file, check)
         return
-    settings = _checked(load_settings, settings_file)
+    settings = _load_or_exit(load_settings, settings_file)
     if check:
         return
     configure_logs(settings.telemetry.log_level, instance=settings.instance.id)
@@ -46,7 +46,7 @@
 
 
 def _run_ingress(settings_file: Path, check: bool) -> None:
-    settings = _checked(load_ingress_settings, settings_file)
+    settings = _load_or_exit(load_ingress_settings, settings_file)
     if check:
         return
     log_to_stdout(settings.log_level, instance=settings.instance)
@@ -76,10 +76,10 @@
     log_event("reloaded", changed=",".join(changed) or "nothing")
 
 
-def _checked(load: Callable[[Path], Loaded], settings_file: Path) -> Loaded:
+def _load_or_exit(load: Callable[[Path], Loaded], settings_file: Path) -> Loaded:
     try:
         return load(settings_file)
     except CheckFailed as failed:
         for finding in failed.findings:
             print(finding.render(str(settings_file)), file=sys.stderr)
-        raise typer.Exit(EXIT_SETTINGS) from None
+        raise typer.Exit(EXIT_INVALID_SETTINGS) from None
