--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -13,8 +13,8 @@
 from redwingscale_daemon._internal.swaps.peer_client import PeerClient
 from redwingscale_daemon._internal.swaps.peer_server import LeaseState, PeerServer
 from redwingscale_daemon._internal.swaps.rate_limit_gossip import RateLimitGossip
-from redwingscale_daemon._internal.utils.lasting import Lasting
 from redwingscale_daemon._internal.utils.periodic import Periodic
+from redwingscale_daemon._internal.utils.sustained_condition import SustainedCondition
 
 # The first two of an instance's ports for others are those of the order giver's news.
 PEER_SERVER_PORT = 2
@@ -53,14 +53,14 @@
         lambda: LeaseState(lease.row_version, lease.record),
         fleet.rates.receive_from_peer,
     )
-    behind = Lasting(BEHIND_SECONDS)
+    behind = SustainedCondition(BEHIND_SECONDS)
 
     def untold() -> bool:
         """Whether a newer configuration or order giver may be there that this one misses."""
         table = routes.get()
         if route_versions.current:
             known = table.version if table else 0
-            return behind.lasts(route_versions.version > known)
+            return behind.update(route_versions.version > known)
         return reads.configuration.lost or reads.configuration.age > settings.bounds.configuration
 
     def fetch_announced() -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/lasting.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/sustained_condition.py
@@ -3,14 +3,14 @@
 import time
 
 
-class Lasting:
+class SustainedCondition:
     """Tells what has been true at each look for ``seconds``."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
         self._since: float | None = None
 
-    def lasts(self, now_true: bool) -> bool:
+    def update(self, now_true: bool) -> bool:
         """Note how it is now; return whether it has been true for long enough."""
         if not now_true:
             self._since = None
