--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -228,9 +228,9 @@
             try:
                 lease.watch(LEASE_WATCH_SECONDS)
             except PlatformError:
-                lease_retry.failed()
+                lease_retry.note_failure()
                 raise
-            lease_retry.answered()
+            lease_retry.note_answer()
 
     def give() -> None:
         update = leader.step()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/fleet/list_follower.py
@@ -40,7 +40,7 @@
         self._state = state
         # Whether no read is due, by the monotonic time of the last one.
         self._not_due = not_due
-        self._retry = Backoff(first_at_once=True)
+        self._retry = Backoff(immediate_first_retry=True)
         # Decoding errors of invalid entries, by the name of the entry.
         self._faults_by_name: dict[str, str] = {}
         # When the store was reached again, and since when the kept upstreams are missing.
@@ -57,17 +57,17 @@
         try:
             snapshot = self._store.read(self._table, "")
         except PlatformError as error:
-            self._state.failed(error)
-            self._retry.failed()
+            self._state.note_failure(error)
+            self._retry.note_failure()
             return
-        self._retry.answered()
+        self._retry.note_answer()
         rows, version = snapshot
         listed = [upstream for row in rows if (upstream := self._decode_row(row))]
         self._forget_faults(row.key.key for row in rows)
         lapsed = self._lapsed(listed, version)
         if self._directory.replace(listed, version, lapsed):
             # Only now: a reader of the list's age must not find the former list.
-            self._state.answered()
+            self._state.note_answer()
         else:
             known = self._directory.copy.version
             log_event("list_outdated", level="WARNING", list_version=version, known=known)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_follower.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routes/route_follower.py
@@ -53,7 +53,7 @@
         self._reads_for_all = reads_for_all
         self._in_force_seconds = in_force_seconds
         self._version: int | None = None
-        self._retry = Backoff(first_at_once=True)
+        self._retry = Backoff(immediate_first_retry=True)
         self._relied_on_leader = False
         # Whether the next read is the first one after relying on the leader's updates.
         self._read_without_wait = False
@@ -72,11 +72,11 @@
             log_event("configuration_history_gone", version=self._version)
             self._version = None
         except PlatformError as error:
-            self._state.failed(error)
-            time.sleep(self._retry.failed())
+            self._state.note_failure(error)
+            time.sleep(self._retry.note_failure())
         else:
-            self._retry.answered()
-            self._state.answered()
+            self._retry.note_answer()
+            self._state.note_answer()
 
     def _relies_on_leader(self) -> bool:
         known = self._current.get() is not None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/link_state.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/link_state.py
@@ -34,7 +34,7 @@
         """Seconds since the last answer."""
         return time.monotonic() - self._answered_at
 
-    def answered(self) -> None:
+    def note_answer(self) -> None:
         """Note an answer."""
         now = time.monotonic()
         if self._lost_at is not None:
@@ -42,7 +42,7 @@
             self._lost_at = None
         self._answered_at = now
 
-    def failed(self, error: Exception) -> None:
+    def note_failure(self, error: Exception) -> None:
         """Note a call without a usable answer."""
         now = time.monotonic()
         self._failed_at = now
