--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/store.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/store.py
@@ -99,7 +99,7 @@
 
     def _commit(self, pointer: Pointer, row: Row | None) -> Won | Lost:
         value = pointer._asdict()
-        outcome = self._platform.table.commit_surely(
+        outcome = self._platform.table.commit_and_resolve(
             Transaction(
                 new_write_id(),
                 checks=[Check(POINTER_KEY, row.version if row else ABSENT)],
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/ownership.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/leases/ownership.py
@@ -150,7 +150,7 @@
         fence = row.value["fence"] + 1 if row else 1
         value = {"holder": self._instance, "boot": self._session.boot, "fence": fence}
         version = row.version if row else ABSENT
-        outcome = self._table.commit_surely(
+        outcome = self._table.commit_and_resolve(
             Transaction(
                 new_write_id(), checks=[*checks, Check(key, version)], puts=[Put(key, value)]
             )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/intents.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/intents.py
@@ -58,7 +58,7 @@
         """
         key = INTENTS_PREFIX + engine
         value: Any = msgspec.to_builtins([Intent(o.order, o.url) for o in orders])
-        outcome = self._table.commit_surely(
+        outcome = self._table.commit_and_resolve(
             Transaction(new_write_id(), checks=[Check(key, version), owner], puts=[Put(key, value)])
         )
         return outcome.rows[key].version if isinstance(outcome, Committed) else None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/table.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/table.py
@@ -44,7 +44,7 @@
             return Conflict(msgspec.json.decode(response.body, type=dict[str, Row | None]))
         return Committed(msgspec.json.decode(response.body, type=dict[str, Row]))
 
-    def commit_surely(self, transaction: Transaction) -> Committed | Conflict:
+    def commit_and_resolve(self, transaction: Transaction) -> Committed | Conflict:
         """Commit; a lost reply is resolved by the write id.
 
         The reply of a write can be lost after the write has taken effect; the
@@ -59,8 +59,8 @@
             return self._resolve(transaction)
 
     def put_if(self, key: str, value: object, version: int) -> Committed | Conflict:
-        """Write one row if it still has ``version``; see `commit_surely`."""
-        return self.commit_surely(
+        """Write one row if it still has ``version``; see `commit_and_resolve`."""
+        return self.commit_and_resolve(
             Transaction(new_write_id(), checks=[Check(key, version)], puts=[Put(key, value)])
         )
 
@@ -73,9 +73,9 @@
         """
         for _ in range(RESOLVE_ATTEMPTS):
             rows = self._read_back(transaction)
-            if _bears(rows, transaction):
+            if _has_write_id(rows, transaction):
                 return Committed({key: row for key, row in rows.items() if row is not None})
-            if not transaction.checks or not _checks_hold(rows, transaction):
+            if not transaction.checks or not _checks_apply(rows, transaction):
                 return Conflict(rows)
             try:
                 outcome = self.commit(transaction)
@@ -94,11 +94,11 @@
             raise WriteUnknown(str(error)) from error
 
 
-def _bears(rows: dict[str, Row | None], transaction: Transaction) -> bool:
+def _has_write_id(rows: dict[str, Row | None], transaction: Transaction) -> bool:
     return any(row is not None and row.write_id == transaction.write_id for row in rows.values())
 
 
-def _checks_hold(rows: dict[str, Row | None], transaction: Transaction) -> bool:
+def _checks_apply(rows: dict[str, Row | None], transaction: Transaction) -> bool:
     versions = {key: row.version if row else ABSENT for key, row in rows.items()}
     return all(versions[check.key] == check.version for check in transaction.checks)
 
--- a/packages/redwingscale-daemon/tests/unit/control/test_configuration_store.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_configuration_store.py
@@ -29,8 +29,8 @@
     def __getattr__(self, name):
         return getattr(self._table, name)
 
-    def commit_surely(self, transaction):
-        return type(self._table).commit_surely(self, transaction)
+    def commit_and_resolve(self, transaction):
+        return type(self._table).commit_and_resolve(self, transaction)
 
     def _resolve(self, transaction):
         return type(self._table)._resolve(self, transaction)
