--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -255,6 +255,6 @@
     return (
         IngressServer(readiness.handle, *settings.readiness, probes),
         IngressServer(
-            MetricsApp(metrics.page).handle, settings.host, settings.metrics_port, probes
+            MetricsApp(metrics.prometheus_page).handle, settings.host, settings.metrics_port, probes
         ),
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -121,7 +121,7 @@
         except CallerLeft:
             if call is not None and not call.attempts.count:
                 call.permit.refund()
-            self._metrics.ended(request, "caller_left")
+            self._metrics.record_request(request, "caller_left")
             log_event("caller_left", request=terms.request_id, route=_route_name(call))
             raise
         else:
@@ -207,7 +207,7 @@
         status: int = 0,
     ) -> None:
         attempts = call.attempts if call else None
-        seconds = self._metrics.ended(request, refusal.code if refusal else "answered")
+        seconds = self._metrics.record_request(request, refusal.code if refusal else "answered")
         log_event(
             "request_ended",
             request=terms.request_id,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/telemetry/ingress_metrics.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/telemetry/ingress_metrics.py
@@ -11,7 +11,7 @@
 from redwingscale_daemon._internal.telemetry.thread_counts import observe_threads
 
 # Latency targets of the deployments lie between 0.1 and 5 seconds.
-LATENCY_BOUNDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0)
+LATENCY_BUCKETS_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0)
 
 
 class IngressMetrics:
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         view = View(
             instrument_name="redwingscale_request_seconds",
-            aggregation=ExplicitBucketHistogramAggregation(LATENCY_BOUNDS),
+            aggregation=ExplicitBucketHistogramAggregation(LATENCY_BUCKETS_SECONDS),
         )
         self._provider = MeterProvider(
             metric_readers=[PrometheusMetricReader()], views=[view], shutdown_on_exit=False
@@ -31,13 +31,13 @@
         meter.create_observable_gauge("redwingscale_threads", callbacks=[observe_threads])
         self.orders = meter.create_counter("redwingscale_swap_orders", unit="1")
 
-    def ended(self, request: IngressRequest, outcome: str) -> float:
+    def record_request(self, request: IngressRequest, outcome: str) -> float:
         """Count an ended request; return how long it took, in seconds."""
         seconds = time.monotonic() - request.arrived_at
         self._requests.add(1, {"outcome": outcome})
         self._seconds.record(seconds, {"outcome": outcome})
         return seconds
 
-    def page(self) -> bytes:
+    def prometheus_page(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
         return bytes(generate_latest(REGISTRY))
--- a/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/forwarding/conftest.py
@@ -194,7 +194,7 @@
     def __init__(self, ended):
         self._ended = ended
 
-    def ended(self, request, outcome):
+    def record_request(self, request, outcome):
         self._ended.append(outcome)
         return 0.0
 
