--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
@@ -90,7 +90,7 @@
     def _respond(
         self, segments: tuple[str, ...], request_id: str, span: Span
     ) -> bytes | Iterator[bytes]:
-        self._readiness.enter()
+        self._readiness.begin_request()
         try:
             response = self._dispatch(segments, request_id, span)
         except Refusal as refusal:
@@ -121,7 +121,7 @@
 
     def _finish(self, span: Span) -> None:
         span.end()
-        self._readiness.leave()
+        self._readiness.end_request()
 
     def _refuse(self, refusal: Refusal, request_id: str) -> bytes:
         self._metrics.refusals.add(1, {"code": refusal.code})
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -76,7 +76,7 @@
 
     def handle(self, request: IngressRequest, reply: Reply) -> None:
         """Serve ``request``; raises `CallerLeft` if the caller has disconnected."""
-        with self._open_requests.counted():
+        with self._open_requests.track():
             if self._open_requests.draining or self._leaves_rotation():
                 # A persistent connection could carry the next request just as the port closes.
                 reply.close_after()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/ingress_server.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/ingress_server.py
@@ -147,13 +147,13 @@
         """Whether only threads reserved to refuse requests are free."""
         return self._threads.busy > self._answering_threads
 
-    def stop(self, most_seconds: float = SHUTDOWN_SECONDS) -> None:
-        """Stop accepting, close idle connections, and wait at most ``most_seconds``.
+    def stop(self, timeout_seconds: float = SHUTDOWN_SECONDS) -> None:
+        """Stop accepting, close idle connections, and wait at most ``timeout_seconds``.
 
         Each accepted request is answered: for one that was read and then dropped, its
         caller could not know that it has not run.
         """
-        self._server.shutdown_timeout = most_seconds
+        self._server.shutdown_timeout = timeout_seconds
         self._server.stop()
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/ingress_instance.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/ingress_instance.py
@@ -12,10 +12,10 @@
 
 # The balancer asks once a second and takes an instance out after two misses. What
 # is accepted later than that could outlast the grace period.
-BALANCER_SECONDS = 2.4
+BALANCER_REMOVAL_SECONDS = 2.4
 # What is left of the grace period for the process to end by itself.
-END_SECONDS = 0.6
-EXIT_START = 3
+EXIT_RESERVE_SECONDS = 0.6
+EXIT_START_FAILED = 3
 
 
 class Task(Protocol):
@@ -38,7 +38,7 @@
     def start(self) -> None:
         """Bind and serve."""
 
-    def stop(self, most_seconds: float = 1.0) -> None:
+    def stop(self, timeout_seconds: float = 1.0) -> None:
         """Stop accepting, and wait for what is open."""
 
 
@@ -77,21 +77,21 @@
         except OSError as error:
             log_event("start_failed", level="ERROR", error=error)
             flush_logs()
-            return EXIT_START
+            return EXIT_START_FAILED
         ports = ",".join(str(probe.port) for probe in self._parts.probes)
         log_event("started", callers_port=self._parts.callers.port, probe_ports=ports)
         while signals.next() == signal.SIGHUP:
             self._reload()
-        self._drain(time.monotonic() + self._grace_seconds - END_SECONDS)
+        self._drain(time.monotonic() + self._grace_seconds - EXIT_RESERVE_SECONDS)
         return 0
 
-    def _drain(self, end: float) -> None:
+    def _drain(self, deadline: float) -> None:
         open_requests = self._parts.open_requests
         log_event("draining", open_requests=open_requests.count)
-        open_requests.drain(end)
+        open_requests.drain(deadline)
         self._parts.release()
-        time.sleep(BALANCER_SECONDS)
+        time.sleep(BALANCER_REMOVAL_SECONDS)
         log_event("port_closing", open_requests=open_requests.count)
-        self._parts.callers.stop(max(END_SECONDS, end - time.monotonic()))
+        self._parts.callers.stop(max(EXIT_RESERVE_SECONDS, deadline - time.monotonic()))
         log_event("stopped", open_requests=open_requests.count)
         flush_logs()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/instance.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/instance.py
@@ -25,10 +25,10 @@
 
 # The longest that an end waits for calls that no caller waits for any more, and
 # for the platform to take their outcomes.
-UNATTENDED_SECONDS = 60.0
+ABANDONED_CALLS_SECONDS = 60.0
 # A balancer that polls may send a last request after its last probe.
-QUIET_SECONDS = 0.3
-SETTLING_SECONDS = 10.0
+IDLE_SECONDS = 0.3
+SETTLER_STOP_SECONDS = 10.0
 
 
 class Parts(NamedTuple):
@@ -87,11 +87,11 @@
         log_event("draining", open_requests=self._parts.readiness.open_requests)
         self._parts.readiness.drain()
         time.sleep(self._balancer_drain_seconds)
-        self._parts.readiness.wait_until_idle(QUIET_SECONDS)
+        self._parts.readiness.wait_until_idle(IDLE_SECONDS)
         # Calls whose callers went away or were too late: sent, so let finish, and
         # their outcomes written for the repeats.
-        self._parts.once.wait_until_idle(UNATTENDED_SECONDS)
-        self._parts.settler.stop(SETTLING_SECONDS)
+        self._parts.once.wait_until_idle(ABANDONED_CALLS_SECONDS)
+        self._parts.settler.stop(SETTLER_STOP_SECONDS)
         self._parts.committer.stop()
         self._parts.retention.flush()
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/open_requests.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/open_requests.py
@@ -36,7 +36,7 @@
         return self._count
 
     @contextmanager
-    def counted(self) -> Iterator[None]:
+    def track(self) -> Iterator[None]:
         """Count one request while the block runs."""
         with self._lock:
             self._count += 1
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/readiness.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/readiness.py
@@ -28,13 +28,13 @@
     def open_requests(self) -> int:
         return self._open
 
-    def enter(self) -> None:
+    def begin_request(self) -> None:
         """Count a request in."""
         with self._condition:
             self._open += 1
             self._condition.notify_all()
 
-    def leave(self) -> None:
+    def end_request(self) -> None:
         """Count a request out."""
         with self._condition:
             self._open -= 1
@@ -44,9 +44,9 @@
         """Be unready from now on; requests that still come are answered."""
         self._draining = True
 
-    def wait_until_idle(self, quiet_seconds: float = 0.0) -> None:
-        """Block until no request is open, and none has come for ``quiet_seconds``."""
+    def wait_until_idle(self, idle_seconds: float = 0.0) -> None:
+        """Block until no request is open, and none has come for ``idle_seconds``."""
         with self._condition:
             self._condition.wait_for(lambda: self._open == 0)
-            while self._condition.wait_for(lambda: self._open > 0, quiet_seconds):
+            while self._condition.wait_for(lambda: self._open > 0, idle_seconds):
                 self._condition.wait_for(lambda: self._open == 0)
