--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -39,16 +39,16 @@
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
 
 # Heads and bodies beyond what any configuration allows.
-LARGEST_HEAD_BYTES = 32 << 10
-LARGEST_BODY_BYTES = 8 << 20
+MAX_HEAD_BYTES = 32 << 10
+MAX_BODY_BYTES = 8 << 20
 # Callers reuse a connection that was idle for up to twelve seconds.
 IDLE_SECONDS = 20
 # Each round asks each upstream once, while nobody tells what they hold.
 OWN_REPORTS_SECONDS = 0.4
 PROBE_THREADS = 2
 # Of the threads of the callers' port, those that only refuse: each takes milliseconds.
-REFUSING_PART = 0.1
-LEAST_REFUSING_THREADS = 2
+REFUSING_FRACTION = 0.1
+MIN_REFUSING_THREADS = 2
 PROBE_HEAD_BYTES = 8 << 10
 
 
@@ -216,10 +216,10 @@
 def _callers(settings: IngressSettings, handler: RequestHandler) -> IngressServer:
     limits = PortLimits(
         settings.request_threads,
-        LARGEST_HEAD_BYTES,
-        LARGEST_BODY_BYTES,
+        MAX_HEAD_BYTES,
+        MAX_BODY_BYTES,
         IDLE_SECONDS,
-        max(LEAST_REFUSING_THREADS, round(settings.request_threads * REFUSING_PART)),
+        max(MIN_REFUSING_THREADS, round(settings.request_threads * REFUSING_FRACTION)),
         "callers",
     )
     return IngressServer(handler.handle, *settings.callers, limits, handler.screen)
@@ -233,7 +233,7 @@
     metrics: IngressMetrics,
     own_reports: OwnReports,
 ) -> tuple[IngressServer, ...]:
-    def not_ready() -> str:
+    def not_ready_reason() -> str:
         if own_reports.domain_cut:
             return "the failure domain is cut off"
         if open_requests.draining:
@@ -245,7 +245,7 @@
     probes = PortLimits(
         PROBE_THREADS, PROBE_HEAD_BYTES, PROBE_HEAD_BYTES, IDLE_SECONDS, name="probes"
     )
-    readiness = ReadinessApp(names.READINESS_PATH, not_ready)
+    readiness = ReadinessApp(names.READINESS_PATH, not_ready_reason)
     log_event(
         "listening",
         callers=f"{settings.callers.host}:{settings.callers.port}",
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -19,9 +19,9 @@
 # The first two of an instance's ports for others are those of the order giver's news.
 PEER_SERVER_PORT = 2
 # An instance that the store turns away asks its peers this often.
-QUESTION_SECONDS = 0.4
+PEER_QUERY_SECONDS = 0.4
 # A version that was told is read from the store first.
-BEHIND_SECONDS = 0.3
+BEHIND_BEFORE_QUERY_SECONDS = 0.3
 # An order giver that has been silent for longer may not tell in time of a rate limit.
 LEADER_SILENT_SECONDS = 0.5
 
@@ -53,14 +53,14 @@
         lambda: LeaseState(lease.row_version, lease.record),
         fleet.rates.receive_from_peer,
     )
-    behind = SustainedCondition(BEHIND_SECONDS)
+    behind = SustainedCondition(BEHIND_BEFORE_QUERY_SECONDS)
 
-    def untold() -> bool:
+    def may_be_outdated() -> bool:
         """Whether a newer configuration or order giver may be there that this one misses."""
         table = routes.get()
         if route_versions.current:
-            known = table.version if table else 0
-            return behind.update(route_versions.version > known)
+            current_version = table.version if table else 0
+            return behind.update(route_versions.version > current_version)
         return reads.configuration.lost or reads.configuration.age > settings.bounds.configuration
 
     def fetch_announced() -> bool:
@@ -69,12 +69,14 @@
             return False
         return peer_client.fetch(f"{record.host}:{record.desk_port}", route_versions.version)
 
-    peer_client = PeerClient(routes, untold, lease.adopt_record, lambda: peer_server.address)
-    asking = Periodic("peer-questions", QUESTION_SECONDS, peer_client.step)
+    peer_client = PeerClient(
+        routes, may_be_outdated, lease.adopt_record, lambda: peer_server.address
+    )
+    queries = Periodic("peer-questions", PEER_QUERY_SECONDS, peer_client.step)
     gossip = RateLimitGossip(
         fleet.rates,
         peer_client.addresses,
         lambda: not lease.is_leader and fleet.residency.age > LEADER_SILENT_SECONDS,
         peer_client.push,
     )
-    return Peers(peer_server, peer_client, (peer_server, asking, gossip), fetch_announced)
+    return Peers(peer_server, peer_client, (peer_server, queries, gossip), fetch_announced)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -56,7 +56,7 @@
 STANDBY_SECONDS = 0.75
 # Instances alike leave the lease to each other for a drawn part of this: all of them
 # would else write at the same moment, and all but one in vain.
-CONTEST_SECONDS = 0.25
+CONTEST_SPREAD_SECONDS = 0.25
 
 
 class Swaps(NamedTuple):
@@ -131,12 +131,12 @@
     list_updates = ListUpdateTracker(fleet.directory, bounds.leave)
     route_versions = RouteVersionTracker(bounds.configuration)
     # What this instance has told last: the giver's sums hold it.
-    told_loads: list[LoadEntry] = []
+    sent_loads: list[LoadEntry] = []
     instances = InstanceCount(lambda: lease.record.instances if lease.record else 0)
 
     def on_leader_update(update: LeaderUpdate) -> None:
         instances.receive(update.instances)
-        _take_update(update, told_loads, fleet)
+        _take_update(update, sent_loads, fleet)
         if update.grants is not None:
             limiter.receive(update.grants)
         peers.client.remember(update.peers)
@@ -154,15 +154,15 @@
             reads.configuration.age,
         )
 
-    def make_update(introduce: bool) -> InstanceUpdate:
-        nonlocal told_loads
+    def make_update(initial: bool) -> InstanceUpdate:
+        nonlocal sent_loads
         loads = [LoadEntry(key, *load) for key, load in fleet.load_tracker.own().items()]
-        told_loads = loads
+        sent_loads = loads
         uses = [
             UseEntry(upstream, unit.model, unit.adapter, requests)
             for (upstream, unit), requests in fleet.load_tracker.open_by_unit().items()
         ]
-        snapshot = own_demand.snapshot() if introduce else None
+        snapshot = own_demand.snapshot() if initial else None
         outcomes = [OutcomeEntry(*counts) for counts in fleet.outcomes.drain()]
         unreachable = fleet.health.all_unreachable()
         update = InstanceUpdate(
@@ -173,9 +173,9 @@
             unreachable,
             snapshot,
             outcomes,
-            limiter.updates(full=introduce),
+            limiter.updates(full=initial),
             peers.server.address,
-            fleet.rates.updates(full=introduce),
+            fleet.rates.updates(full=initial),
             fleet.directory.leaving_unlisted(),
             fleet.retry_times.pending(),
         )
@@ -232,7 +232,7 @@
                 raise
             lease_retry.note_answer()
 
-    def give() -> None:
+    def lead() -> None:
         update = leader.step()
         if update is not None:
             on_leader_update(update)
@@ -244,7 +244,7 @@
             *peers.tasks,
             Periodic("giver-lease", LEASE_STEP_SECONDS, follow_lease),
             client,
-            Periodic("order-giver", 0.0, give),
+            Periodic("order-giver", 0.0, lead),
         ),
         release=lease.release,
         instances=instances,
@@ -278,8 +278,8 @@
 def _standby_seconds(machine: Machine) -> float:
     small = machine.cores < LEADER_CORES or machine.link_mbps < LEADER_LINK_MBPS
     # Not for secrets: it only spreads the writes.
-    drawn = random.random() * CONTEST_SECONDS  # noqa: S311
-    return drawn + (STANDBY_SECONDS if small else 0.0)
+    random_seconds = random.random() * CONTEST_SPREAD_SECONDS  # noqa: S311
+    return random_seconds + (STANDBY_SECONDS if small else 0.0)
 
 
 def _without(total: LoadEntry, own: LoadEntry | None) -> Load:
