--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start, readiness, drain and end of an instance."""
+"""Start, readiness, drain and stop of an instance."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/ingress_instance.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/ingress_instance.py
@@ -1,4 +1,4 @@
-"""Starts and ends an instance whose requests are routed by host and path."""
+"""Starts and stops an instance whose requests are routed by host and path."""
 
 import signal
 import time
@@ -10,40 +10,40 @@
 from redwingscale_daemon._internal.lifecycle.open_requests import OpenRequests
 from redwingscale_daemon._internal.lifecycle.signals import SignalQueue
 
-# The balancer asks once a second and takes an instance out after two misses. What
-# is accepted later than that could outlast the grace period.
+# The balancer probes once a second and removes an instance after two failed probes.
+# Requests that are accepted later than that might not end within the grace period.
 BALANCER_REMOVAL_SECONDS = 2.4
-# What is left of the grace period for the process to end by itself.
+# Reserved at the end of the grace period for the process to exit by itself.
 EXIT_RESERVE_SECONDS = 0.6
 EXIT_START_FAILED = 3
 
 
 class Task(Protocol):
-    """Something with a thread of its own."""
+    """Work that runs in its own thread."""
 
     def start(self) -> None:
-        """Begin."""
+        """Start the thread."""
 
     def stop(self) -> None:
-        """End."""
+        """Stop the thread."""
 
 
 class Server(Protocol):
-    """A port."""
+    """A server on one port."""
 
     @property
     def port(self) -> int:
-        """The port in use."""
+        """The bound port."""
 
     def start(self) -> None:
-        """Bind and serve."""
+        """Bind the port and serve; raise OSError if it is in use."""
 
     def stop(self, timeout_seconds: float = 1.0) -> None:
-        """Stop accepting, and wait for what is open."""
+        """Stop accepting, and wait at most ``timeout_seconds`` for open requests."""
 
 
 class IngressParts(NamedTuple):
-    """What the composition root has wired; ``callers`` stop first, ``probes`` last."""
+    """The parts of an instance; ``tasks`` start first, ``probes`` last."""
 
     callers: Server
     probes: Sequence[Server]
@@ -53,7 +53,7 @@
 
 
 class IngressInstance:
-    """Runs until SIGTERM or SIGINT, then ends without cutting a request."""
+    """Runs until SIGTERM or SIGINT, then stops without cutting a request."""
 
     def __init__(
         self, parts: IngressParts, grace_seconds: float, reload: Callable[[], None]
@@ -63,14 +63,15 @@
         self._reload = reload
 
     def run(self) -> int:
-        """Start everything, and return the exit code after the last request.
+        """Start all parts, and return the exit code after the last request.
 
-        The other threads are left as they are: each waits for the store or a peer,
-        and to join them one after the other takes seconds in which the machine
-        serves nobody. Nothing of theirs lasts, and the lease is released.
+        The threads of the tasks are not joined: each of them waits for the store or a
+        peer, so joining them in turn takes seconds in which the machine serves nobody.
+        They keep no state that outlasts the process, and the lease is released.
         """
         signals = SignalQueue((signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
-        # The callers' port is open before the balancer can be told that it is.
+        # The probes start last: the callers' port is open before the balancer sees this
+        # instance as ready.
         try:
             for part in (*self._parts.tasks, self._parts.callers, *self._parts.probes):
                 part.start()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/instance.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/instance.py
@@ -1,4 +1,4 @@
-"""Starts and ends everything that an instance runs."""
+"""Starts, drains and stops the parts of an instance."""
 
 import json
 import signal
@@ -23,16 +23,17 @@
 from redwingscale_daemon._internal.upstreams.plain_watch import PlainWatch
 from redwingscale_daemon._internal.utils.periodic import Periodic
 
-# The longest that an end waits for calls that no caller waits for any more, and
-# for the platform to take their outcomes.
+# Maximum wait of a drain for calls whose callers have disconnected or timed out, and for
+# the platform to store their outcomes.
 ABANDONED_CALLS_SECONDS = 60.0
-# A balancer that polls may send a last request after its last probe.
+# A balancer that polls may send a last request after its last probe: the drain ends only
+# when no request has come for this time.
 IDLE_SECONDS = 0.3
 SETTLER_STOP_SECONDS = 10.0
 
 
 class Parts(NamedTuple):
-    """What the composition root has wired."""
+    """The parts that the composition root has wired."""
 
     callers: HttpServer
     operators: HttpServer
@@ -51,14 +52,14 @@
 
 
 class Instance:
-    """Runs the parts until SIGTERM or SIGINT, then ends without cutting a request."""
+    """Runs the parts until SIGTERM or SIGINT, then stops without cutting a request."""
 
     def __init__(self, parts: Parts, balancer_drain_seconds: float) -> None:
         self._parts = parts
         self._balancer_drain_seconds = balancer_drain_seconds
 
     def run(self) -> None:
-        """Start, print the addresses as one JSON line, and return after the drain."""
+        """Start, print the ports as one JSON line, and return after drain and stop."""
         signals = SignalQueue((signal.SIGTERM, signal.SIGINT))
         self._start()
         signals.next()
@@ -83,13 +84,13 @@
         log_event("started", callers_port=parts.callers.port, operators_port=parts.operators.port)
 
     def _drain(self) -> None:
-        """Be unready, wait out the balancer's lag, and finish every open request."""
+        """Become unready, wait until the balancer sees it, and finish all open requests."""
         log_event("draining", open_requests=self._parts.readiness.open_requests)
         self._parts.readiness.drain()
         time.sleep(self._balancer_drain_seconds)
         self._parts.readiness.wait_until_idle(IDLE_SECONDS)
-        # Calls whose callers went away or were too late: sent, so let finish, and
-        # their outcomes written for the repeats.
+        # Calls whose callers have disconnected or timed out were sent already. They may
+        # finish, and their outcomes are stored so that repeated requests get them.
         self._parts.once.wait_until_idle(ABANDONED_CALLS_SECONDS)
         self._parts.settler.stop(SETTLER_STOP_SECONDS)
         self._parts.committer.stop()
@@ -98,7 +99,7 @@
     def _stop(self) -> None:
         parts = self._parts
         parts.callers.stop()
-        # What was accepted until the port was closed is still being answered.
+        # Requests that were accepted before the port was closed are still being answered.
         parts.readiness.wait_until_idle()
         parts.owners.stop()
         for task in parts.tasks:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/open_requests.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/open_requests.py
@@ -1,4 +1,4 @@
-"""How many requests are being answered, and whether the instance is stopping."""
+"""Counts open requests, and holds the state of a drain."""
 
 import math
 import threading
@@ -7,7 +7,7 @@
 
 
 class OpenRequests:
-    """Counts requests in and out."""
+    """The number of open requests, and whether and until when the instance drains."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -17,27 +17,27 @@
 
     @property
     def draining(self) -> bool:
-        """Whether the instance takes leave."""
+        """Whether the instance is draining."""
         return self._draining.is_set()
 
     def drain(self, ends_at: float) -> None:
-        """Be unready from now on; what still comes is answered until ``ends_at``, monotonic."""
+        """Start draining; requests are still answered until ``ends_at``, monotonic."""
         self._ends_at = ends_at
         self._draining.set()
 
     @property
     def ends_at(self) -> float:
-        """The monotonic time at which the process ends, infinite while it isn't told to."""
+        """The monotonic time at which the process ends, infinite unless it is draining."""
         return self._ends_at
 
     @property
     def count(self) -> int:
-        """How many are open."""
+        """The number of open requests."""
         return self._count
 
     @contextmanager
     def track(self) -> Iterator[None]:
-        """Count one request while the block runs."""
+        """Count one request as open while the block runs."""
         with self._lock:
             self._count += 1
         try:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/probe_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/probe_app.py
@@ -1,4 +1,4 @@
-"""Small pages: readiness for the balancer, metrics for the operators."""
+"""Serves readiness to the balancer and metrics to the operators."""
 
 from collections.abc import Callable
 
@@ -9,14 +9,14 @@
 
 
 class ReadinessApp:
-    """Answers 200 on its path while the instance takes requests, else 503."""
+    """Answers 200 on ``path`` while ``reason`` returns an empty text, else 503."""
 
     def __init__(self, path: str, reason: Callable[[], str]) -> None:
         self._path = path
         self._reason = reason
 
     def handle(self, request: IngressRequest, reply: Reply) -> None:
-        """Answer one probe; the body says why the instance is not ready."""
+        """Answer one probe; the body gives the reason if the instance is not ready."""
         if request.path != self._path:
             reply.send(404, _TEXT, b"not found\n")
             return
@@ -25,11 +25,11 @@
 
 
 class MetricsApp:
-    """Serves the metrics as text."""
+    """Serves the metrics page."""
 
     def __init__(self, page: Callable[[], bytes]) -> None:
         self._page = page
 
     def handle(self, request: IngressRequest, reply: Reply) -> None:
-        """Answer with the page, whatever the path."""
+        """Answer with the page on every path."""
         reply.send(200, _TEXT, self._page())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/readiness.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/readiness.py
@@ -1,4 +1,4 @@
-"""Whether the balancer may send requests, and how many are being answered."""
+"""Readiness for the balancer, and the number of open requests."""
 
 import threading
 
@@ -6,7 +6,7 @@
 
 
 class Readiness:
-    """Counts requests and tells why the instance is not ready."""
+    """Counts open requests, and gives the reason while the instance is not ready."""
 
     def __init__(self, current: CurrentConfiguration) -> None:
         self._condition = threading.Condition()
@@ -15,7 +15,7 @@
         self._draining = False
 
     def reason(self) -> str:
-        """Return why the instance is not ready; empty when it is."""
+        """Return why the instance is not ready, empty if it is ready."""
         if self._draining:
             return "draining"
         return "" if self._current.get() else self._current.waiting_for()
@@ -29,23 +29,23 @@
         return self._open
 
     def begin_request(self) -> None:
-        """Count a request in."""
+        """Count one more open request."""
         with self._condition:
             self._open += 1
             self._condition.notify_all()
 
     def end_request(self) -> None:
-        """Count a request out."""
+        """Count one open request less."""
         with self._condition:
             self._open -= 1
             self._condition.notify_all()
 
     def drain(self) -> None:
-        """Be unready from now on; requests that still come are answered."""
+        """Become unready for good; requests that still come are answered."""
         self._draining = True
 
     def wait_until_idle(self, idle_seconds: float = 0.0) -> None:
-        """Block until no request is open, and none has come for ``idle_seconds``."""
+        """Block until no request is open and none has arrived for ``idle_seconds``."""
         with self._condition:
             self._condition.wait_for(lambda: self._open == 0)
             while self._condition.wait_for(lambda: self._open > 0, idle_seconds):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/signals.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/signals.py
@@ -1,4 +1,4 @@
-"""Signals to the process, one after the other."""
+"""Waits for the signals that the process receives."""
 
 import os
 import signal
@@ -6,13 +6,14 @@
 
 
 class SignalQueue:
-    """Waits for signals in the main thread, where it is made.
-
-    The kernel may hand a signal to any thread. Python's handlers run in the main one, at
-    its next step: if that sleeps on a lock which only the handler would release, a stop
-    is never carried out, and callers are cut when the process is killed at the end of
-    its grace period. The interpreter writes each signal into a pipe in whichever thread
-    it comes, and a read of the pipe wakes the main one.
+    """Returns signals in order; must be created and used in the main thread.
+
+    The kernel may deliver a signal to any thread, but Python runs handlers only in the
+    main thread, at its next bytecode. If the main thread sleeps on a lock that only the
+    handler would release, a stop is never carried out, and open requests are cut when the
+    process is killed at the end of its grace period. Therefore the interpreter writes
+    each signal into a pipe, in whichever thread it arrives, and the main thread blocks
+    in a read of that pipe.
     """
 
     def __init__(self, numbers: Iterable[signal.Signals]) -> None:
@@ -23,9 +24,9 @@
             signal.signal(number, _do_nothing)
 
     def next(self) -> int:
-        """Return the number of the next signal; blocks."""
+        """Block until the next signal, and return its number."""
         return os.read(self._read_end, 1)[0]
 
 
 def _do_nothing(*_: object) -> None:
-    """Keep the signal from ending the process."""
+    """Replace the default action, which would end the process."""
