--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store as the product sees it, and the client of the project's own platform service."""
+"""The interface to the row store, and clients of the project's own platform service."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/http.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/http.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's service."""
+"""HTTP calls to the platform's service."""
 
 from typing import NamedTuple
 
@@ -9,19 +9,19 @@
 
 SENDER_HEADER = "X-Sender"
 SERVER_ERROR = 500
-# By this status the platform says that a write did not start.
+# With this status the platform states that a write has not started.
 SERVICE_UNAVAILABLE = 503
 
 
 class PlatformResponse(NamedTuple):
-    """Status and body of a call that was answered."""
+    """Status and body of an answer."""
 
     status: int
     body: bytes
 
 
 class PlatformHttp:
-    """Sends calls to the platform, each exactly once and bounded in time."""
+    """Sends each call to the platform once, with a timeout."""
 
     def __init__(self, url: str, sender: str, timeout_seconds: float) -> None:
         self._pool = new_pool(connections=8)
@@ -30,7 +30,7 @@
         self._timeout = timeout(timeout_seconds, timeout_seconds)
 
     def get(self, path: str, fields: list[tuple[str, str]] | None = None) -> PlatformResponse:
-        """Read ``path``; raise `PlatformUnavailable` when there is no answer."""
+        """Read ``path``; raise `PlatformUnavailable` if there is no usable answer."""
         try:
             response = self._pool.request(
                 "GET",
@@ -48,8 +48,8 @@
     def send(self, method: str, path: str, body: bytes) -> PlatformResponse:
         """Write to ``path``; raise `PlatformUnavailable` or `WriteUnknown`.
 
-        A connection that could not be made carried nothing; any later failure
-        may hide a write that took effect.
+        If the connection could not be established, nothing was written. After any
+        later failure the write may have taken effect.
         """
         try:
             response = self._pool.request(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/link_state.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/link_state.py
@@ -1,4 +1,4 @@
-"""Whether the store answers, and since when."""
+"""Tracks whether the store answers one kind of read, and since when."""
 
 import time
 
@@ -6,7 +6,7 @@
 
 
 class LinkState:
-    """Logs when one kind of read is lost and regained, with the age of what is known."""
+    """Tracks the reads of ``what``, and logs when the store stops or resumes answering."""
 
     def __init__(self, what: str) -> None:
         self._what = what
@@ -43,7 +43,7 @@
         self._answered_at = now
 
     def note_failure(self, error: Exception) -> None:
-        """Note a call without a usable answer."""
+        """Note a call without a usable answer; the log has the age of the last one."""
         now = time.monotonic()
         self._failed_at = now
         if self._lost_at is None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/member_list.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/member_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances and upstreams, which lags."""
+"""The platform's list of instances and upstreams, which may be out of date."""
 
 import msgspec
 from redwingscale_common.utils.logs import log_event
@@ -8,13 +8,13 @@
 
 
 class MemberList:
-    """Reads the list; an item that is not well-formed is logged and left out."""
+    """Reads the list; malformed items are logged and skipped."""
 
     def __init__(self, http: PlatformHttp) -> None:
         self._http = http
 
     def read(self) -> dict[str, Member]:
-        """Return the members by id; raise `PlatformUnavailable`."""
+        """Return the members by id; raise `PlatformUnavailable` if there is no answer."""
         items = msgspec.json.decode(self._http.get("/members").body)
         members: dict[str, Member] = {}
         for item in items:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/objects.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/objects.py
@@ -1,4 +1,4 @@
-"""The platform's object store; keys hold the digest of their content."""
+"""The platform's object store, whose keys contain the digest of the content."""
 
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable
 from redwingscale_daemon._internal.store.http import PlatformHttp
@@ -7,7 +7,7 @@
 
 
 class Objects:
-    """Writes and reads whole objects; a write of the same content is idempotent."""
+    """Reads and writes whole objects; writing the same content again is idempotent."""
 
     def __init__(self, http: PlatformHttp) -> None:
         self._http = http
@@ -17,7 +17,7 @@
         self._http.send("PUT", f"/objects/{key}", data)
 
     def get(self, key: str) -> bytes:
-        """Return the object; raise `PlatformUnavailable` when it cannot be had."""
+        """Return the object; raise `PlatformUnavailable` if it is missing or unreadable."""
         response = self._http.get(f"/objects/{key}")
         if response.status == NOT_FOUND:
             raise PlatformUnavailable(f"no object {key}")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/row.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/row.py
@@ -8,7 +8,7 @@
 
 
 class Row(NamedTuple):
-    """A row as read: ``version`` rises with each write, ``write_id`` names the last."""
+    """A row as read; ``version`` rises with each write, ``write_id`` is of the last one."""
 
     version: int
     value: Any
@@ -16,21 +16,21 @@
 
 
 class Check(msgspec.Struct):
-    """A condition of a transaction: row ``key`` has ``version``; `ABSENT` for no row."""
+    """A condition of a transaction: row ``key`` has ``version``, `ABSENT` if there is none."""
 
     key: str
     version: int
 
 
 class Put(msgspec.Struct):
-    """A write of ``value``, plain JSON data, to row ``key``."""
+    """A write of ``value``, which is plain JSON data, to row ``key``."""
 
     key: str
     value: Any
 
 
 class Transaction(msgspec.Struct):
-    """Writes that take effect together if every check holds, else not at all."""
+    """Writes that all take effect if every check passes, and otherwise none."""
 
     write_id: str
     checks: list[Check] = []
@@ -39,12 +39,12 @@
 
 
 class Committed(NamedTuple):
-    """The transaction took effect; the rows written, by key."""
+    """The transaction took effect; ``rows`` are the rows written, by key."""
 
     rows: dict[str, Row]
 
 
 class Conflict(NamedTuple):
-    """A check did not hold; the rows that failed as they are, by key."""
+    """A check failed; ``rows`` are the present rows, by key."""
 
     rows: dict[str, Row | None]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/rows.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/rows.py
@@ -1,10 +1,10 @@
-"""Rows of a store whose transactions share one version counter, as the product uses them."""
+"""The interface to a row store whose transactions share one version counter."""
 
 from typing import NamedTuple, Protocol
 
 
 class RowKey(NamedTuple):
-    """Where a row stands; rows of one ``partition`` can change together."""
+    """The key of a row; rows of one ``partition`` can change in one transaction."""
 
     table: str
     partition: str
@@ -12,7 +12,7 @@
 
 
 class StoredRow(NamedTuple):
-    """A row as read; ``version`` is that of the transaction that wrote it, ``value`` None if dropped."""
+    """A row as read, written by transaction ``version``; ``value`` is None if it was deleted."""
 
     key: RowKey
     version: int
@@ -20,9 +20,9 @@
 
 
 class Snapshot(NamedTuple):
-    """Rows as of one moment of the store; ``version`` was the newest of the whole store then.
+    """Rows as of one moment, when ``version`` was the newest of the whole store.
 
-    Rows of a table that is read in pages may be newer, never older.
+    Rows of a table that is read in pages may be newer, but never older.
     """
 
     rows: tuple[StoredRow, ...]
@@ -30,20 +30,23 @@
 
 
 class RowStore(Protocol):
-    """The calls that the product makes; each is sent once.
+    """Calls to the row store; each is sent once.
 
-    Raises `PlatformUnavailable` when nothing was done, `WriteUnknown` when a write
-    may have been, `HistoryGone` when changes since a version are no longer kept.
+    They raise `PlatformUnavailable` if nothing was done, `WriteUnknown` if a write may
+    have taken effect, and `HistoryGone` if changes since a version are no longer kept.
     """
 
     def read(self, table: str, partition: str) -> Snapshot:
         """Return all rows of one partition."""
 
     def changes(self, table: str, after: int, wait_seconds: float) -> Snapshot:
-        """Return the rows changed after version ``after``, waiting for the first one."""
+        """Return the rows changed after version ``after``.
+
+        Waits up to ``wait_seconds`` for the first change.
+        """
 
     def write(self, key: RowKey, value: bytes, expected_version: int) -> int | None:
-        """Write one row that still has ``expected_version`` (0: absent).
+        """Write one row if it still has ``expected_version``, 0 for an absent row.
 
-        Returns the new version, None when the row has another one.
+        Returns the new version, None if the row has another version than expected.
         """
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/store.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/store.py
@@ -1,4 +1,4 @@
-"""The platform's services as one value, for wiring."""
+"""Groups the clients of the platform's services."""
 
 from typing import NamedTuple
 
@@ -18,6 +18,6 @@
 
 
 def connect_platform(settings: PlatformSettings, sender: str) -> Platform:
-    """Return clients that name this instance as ``sender``; nothing is sent yet."""
+    """Return clients that send ``sender`` with each call; no call is made yet."""
     http = PlatformHttp(settings.url, sender, settings.timeout_seconds)
     return Platform(Table(http), Objects(http), MemberList(http))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/table.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/table.py
@@ -21,23 +21,23 @@
 
 
 class Table:
-    """Reads rows and commits transactions; every failure is an exception."""
+    """Reads rows and commits transactions; raises an exception on each failure."""
 
     def __init__(self, http: PlatformHttp) -> None:
         self._http = http
 
     def read(self, keys: list[str]) -> dict[str, Row | None]:
-        """Return the rows of ``keys``; raise `PlatformUnavailable`."""
+        """Return the rows of ``keys``, None for absent ones; raise `PlatformUnavailable`."""
         response = self._http.get("/table/rows", [("key", key) for key in keys])
         return msgspec.json.decode(response.body, type=dict[str, Row | None])
 
     def scan(self, prefix: str) -> dict[str, Row]:
-        """Return all rows whose key begins with ``prefix``; raise `PlatformUnavailable`."""
+        """Return all rows whose keys start with ``prefix``; raise `PlatformUnavailable`."""
         response = self._http.get("/table/scan", [("prefix", prefix)])
         return msgspec.json.decode(response.body, type=dict[str, Row])
 
     def commit(self, transaction: Transaction) -> Committed | Conflict:
-        """Commit once; raise `PlatformUnavailable` or `WriteUnknown`."""
+        """Commit without a retry; raise `PlatformUnavailable` or `WriteUnknown`."""
         body = msgspec.json.encode(transaction)
         response = self._http.send("POST", "/table/transactions", body)
         if response.status == CONFLICT_STATUS:
@@ -45,13 +45,12 @@
         return Committed(msgspec.json.decode(response.body, type=dict[str, Row]))
 
     def commit_and_resolve(self, transaction: Transaction) -> Committed | Conflict:
-        """Commit; a lost reply is resolved by the write id.
+        """Commit; if the answer is lost, find out from the write id what happened.
 
-        The reply of a write can be lost after the write has taken effect; the
-        rows then bear this transaction's write id. All puts of a transaction
-        take effect together, so one row tells for all. Raises
-        `PlatformUnavailable` when nothing was written, and `WriteUnknown` when
-        it cannot be told.
+        The answer can be lost after the write has taken effect; the rows then have
+        this transaction's write id. All puts of a transaction take effect together,
+        so one row is enough to decide. Raises `PlatformUnavailable` if nothing was
+        written, and `WriteUnknown` if that could not be found out.
         """
         try:
             return self.commit(transaction)
@@ -65,11 +64,10 @@
         )
 
     def _resolve(self, transaction: Transaction) -> Committed | Conflict:
-        """Find out whether a write without a reply took effect.
+        """Find out whether a write without an answer took effect.
 
-        Where the rows are as they were before, the write may be lost or may
-        still come: the same transaction is sent again, and its checks let only
-        one of the two take effect.
+        If the rows are unchanged, the write may be lost or still in flight. The same
+        transaction is sent again: its checks let only one of the two take effect.
         """
         for _ in range(RESOLVE_ATTEMPTS):
             rows = self._read_back(transaction)
@@ -104,5 +102,5 @@
 
 
 def new_write_id() -> str:
-    """Return an id that no other write bears."""
+    """Return an id that no other write has."""
     return uuid.uuid4().hex
