--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/__init__.py
@@ -1,1 +1,1 @@
-"""Small value types that several folders share."""
+"""Value types that several packages share."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/cache_event.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/cache_event.py
@@ -1,4 +1,4 @@
-"""Changes of an engine's prefix cache, in one shape for every vendor."""
+"""Changes of an engine's prefix cache, in one format for all vendors."""
 
 from typing import NamedTuple
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/generation.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/generation.py
@@ -1,4 +1,4 @@
-"""A checked request for generated text."""
+"""Requests for generated text, and the events of their streams."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class GenerationRequest(NamedTuple):
-    """What a caller asked for; ``deadline_at`` is on the monotonic clock."""
+    """A validated request of a caller; ``deadline_at`` is monotonic time."""
 
     request_id: str
     caller: str
@@ -22,7 +22,10 @@
 
 
 class Attempt(NamedTuple):
-    """One try of a request at one upstream; ``skip`` tokens are already delivered."""
+    """One try of a request at one upstream.
+
+    The first ``skip`` tokens, with the text ``delivered``, have been delivered already.
+    """
 
     attempt_id: str
     unit: str
@@ -34,7 +37,7 @@
 
 
 class TokenEvent(NamedTuple):
-    """Token ``position`` of the whole answer, as the attempt's upstream sent it."""
+    """The token at ``position`` in the whole answer, as sent by the upstream."""
 
     position: int
     text: str
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/member.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/member.py
@@ -1,4 +1,4 @@
-"""Members of the deployment as the platform lists them."""
+"""Members of the deployment, as listed by the platform."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceMember:
-    """An instance of the system; ``leaving`` means that its end is planned."""
+    """An instance of the system; it is ``leaving`` if it is about to be stopped."""
 
     id: str
     failure_domain: str
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineMember:
-    """An upstream engine; what its vendor guarantees comes with the listing.
+    """An upstream engine; the list also has the guarantees of its vendor.
 
-    ``late_order_seconds`` is the longest that an order may still take effect
-    after it was sent, for an engine that ignores fencing numbers.
+    ``late_order_seconds`` is the longest time after which an order can still take
+    effect, for an engine that ignores fencing numbers.
     """
 
     id: str
@@ -50,7 +50,7 @@
 
 
 def parse_member(item: dict[str, Any]) -> Member:
-    """Return the member in a list item; raise KeyError or ValueError when it is none."""
+    """Return the member in a list item; raise KeyError or ValueError if it is malformed."""
     leaving = item["state"] != "live"
     match item["kind"]:
         case "instance":
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/order.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/order.py
@@ -1,10 +1,10 @@
-"""Orders to engines, in one shape for every vendor."""
+"""Orders to engines, in one format for all vendors."""
 
 from typing import NamedTuple
 
 
 class Order(NamedTuple):
-    """Load or unload ``unit``; ``fence`` is the sender's fencing number."""
+    """An order to load or unload ``unit``; ``fence`` is the sender's fencing number."""
 
     order_id: str
     load: bool
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/report.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/report.py
@@ -1,10 +1,10 @@
-"""The state of an engine, in one shape for every vendor."""
+"""The state of an engine, in one format for all vendors."""
 
 from typing import NamedTuple
 
 
 class ResidentUnit(NamedTuple):
-    """A unit in an engine's memory; only a ``ready`` one answers requests."""
+    """A unit in an engine's memory; it answers requests only if it is ``ready``."""
 
     unit: str
     size_bytes: int
@@ -12,12 +12,11 @@
 
 
 class Report(NamedTuple):
-    """One poll of an engine.
+    """The answer to one poll of an engine.
 
-    ``orders`` maps order ids to ``running``, ``done`` or ``failed``; an id that
-    is missing tells nothing: the order may be lost or still on its way.
-    ``fence`` is the lowest fencing number that the engine still takes orders
-    of; 0 where its vendor has no fencing.
+    ``orders`` maps order ids to ``running``, ``done`` or ``failed``. A missing id
+    says nothing: the order may be lost or still in flight. ``fence`` is the lowest
+    fencing number whose orders the engine accepts, 0 if its vendor has no fencing.
     """
 
     leaving: bool
@@ -31,12 +30,12 @@
 
 
 class Digest(NamedTuple):
-    """What the owner of an upstream tells all instances of it.
+    """The state of an upstream that its owner announces to all instances.
 
-    ``fence`` is the owner's fencing number: of two owners' digests the higher
-    one holds. No instance routes to a ``retiring`` unit, nor to any unit of an
-    engine that is ``set_aside`` (silent, or its report was nonsense).
-    ``retirement`` rises with each change of ``retiring``.
+    ``fence`` is the owner's fencing number: of the digests of two owners, the one
+    with the higher number applies. No instance routes to a ``retiring`` unit, nor to
+    any unit of an engine that is ``set_aside``, which is silent or sent an invalid
+    report. ``retirement`` rises with each change of ``retiring``.
     """
 
     upstream: str
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/run_state.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/models/run_state.py
@@ -1,10 +1,10 @@
-"""What is known of a refused or failed request."""
+"""Whether a refused or failed request was run."""
 
 from enum import StrEnum
 
 
 class RunState(StrEnum):
-    """Whether a request was run; ``NOT_RUN`` is only said when it is certain."""
+    """Whether a request was run; ``NOT_RUN`` is used only if that is certain."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/telemetry/ingress_metrics.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/telemetry/ingress_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latencies of the requests that are passed on byte for byte."""
+"""Counters and latencies of the requests that are forwarded byte for byte."""
 
 import time
 
@@ -10,12 +10,12 @@
 from redwingscale_daemon._internal.ingress.ingress_request import IngressRequest
 from redwingscale_daemon._internal.telemetry.thread_counts import observe_threads
 
-# Latency targets of the deployments lie between 0.1 and 5 seconds.
+# Latency targets of deployments are between 0.1 and 5 seconds.
 LATENCY_BUCKETS_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0)
 
 
 class IngressMetrics:
-    """The instruments of one instance; labels take a handful of values each."""
+    """The metrics of one instance; each label has only a few values."""
 
     def __init__(self) -> None:
         view = View(
@@ -32,7 +32,7 @@
         self.orders = meter.create_counter("redwingscale_swap_orders", unit="1")
 
     def record_request(self, request: IngressRequest, outcome: str) -> float:
-        """Count an ended request; return how long it took, in seconds."""
+        """Count an ended request; return its duration in seconds."""
         seconds = time.monotonic() - request.arrived_at
         self._requests.add(1, {"outcome": outcome})
         self._seconds.record(seconds, {"outcome": outcome})
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/telemetry/metrics.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry: a Prometheus page, and OTLP when it is set."""
+"""OpenTelemetry metrics: a Prometheus page, and OTLP export if an endpoint is set."""
 
 from collections.abc import Callable, Mapping
 
@@ -10,7 +10,7 @@
 
 
 class Metrics:
-    """The instruments of one instance."""
+    """The metrics of one instance."""
 
     def __init__(self, otlp_endpoint: str) -> None:
         readers: list[MetricReader] = [PrometheusMetricReader()]
@@ -30,7 +30,10 @@
         self.first_token = meter.create_histogram("redwingscale_first_token_seconds", unit="s")
 
     def observe(self, counters: Mapping[str, Callable[[], int]]) -> None:
-        """Export counts that other parts keep themselves, read at each collection."""
+        """Export counters that other parts keep themselves, by metric name.
+
+        Their values are read at each collection.
+        """
         for name, read in counters.items():
             self._meter.create_observable_counter(name, [_observation(read)], unit="1")
 
@@ -39,7 +42,7 @@
         return generate_latest(REGISTRY)
 
     def close(self) -> None:
-        """Export what is left."""
+        """Export what has not been exported, and stop."""
         self._provider.shutdown()
 
 
@@ -48,7 +51,7 @@
 
 
 def _otlp_reader(endpoint: str) -> MetricReader:
-    # Imported here: the exporter costs memory that an instance without one keeps.
+    # Imported here: an instance without an endpoint saves the exporter's memory.
     from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
     from opentelemetry.sdk.metrics.export import PeriodicExportingMetricReader
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/telemetry/thread_counts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/telemetry/thread_counts.py
@@ -1,4 +1,4 @@
-"""How many threads the process has, by what they are for."""
+"""Counts the threads of the process by their purpose."""
 
 import re
 import threading
@@ -13,9 +13,9 @@
 
 
 def threads_by_owner() -> Counter[str]:
-    """Return the counts by the threads' names without their numbers.
+    """Return the number of threads by thread name, without the number in the name.
 
-    Threads that libraries start by themselves count as `NATIVE`.
+    Threads that native libraries start count as `NATIVE`.
     """
     owners = Counter(_NUMBER.sub("", thread.name) for thread in threading.enumerate())
     native = len([*Path("/proc/self/task").iterdir()]) - owners.total()
@@ -25,5 +25,5 @@
 
 
 def observe_threads(_options: CallbackOptions) -> Iterable[Observation]:
-    """Return one observation an owner, for a gauge."""
+    """Return the observations of a gauge, one for each owner."""
     return [Observation(count, {"owner": owner}) for owner, count in threads_by_owner().items()]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/telemetry/tracing.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/telemetry/tracing.py
@@ -1,4 +1,4 @@
-"""Traces: a span for each hop, context taken from and passed on in headers."""
+"""Traces: a span for each hop; the trace context is read from and written to headers."""
 
 from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
@@ -13,7 +13,7 @@
 
 
 class Tracing:
-    """Starts spans; exports them by OTLP/HTTP when an endpoint is set."""
+    """Starts spans, and exports them with OTLP/HTTP if an endpoint is set."""
 
     def __init__(self, instance: str, otlp_endpoint: str) -> None:
         resource = Resource.create(
@@ -26,7 +26,7 @@
 
     @contextmanager
     def entry_span(self, name: str, headers: Mapping[str, str]) -> Iterator[Span]:
-        """Open the span of a request that came in with ``headers``."""
+        """Open the span of a request that was received with ``headers``."""
         context = _PROPAGATOR.extract({"traceparent": headers.get("traceparent", "")})
         span = self._tracer.start_span(name, context=context, kind=SpanKind.SERVER)
         with trace.use_span(span, end_on_exit=False):
@@ -36,8 +36,8 @@
     def hop_span(self, name: str, parent: Span, **attributes: str) -> Iterator[Span]:
         """Open the span of a call to an upstream or a peer, under ``parent``."""
         context = trace.set_span_in_context(parent)
-        # Not made current: a generator that holds the span open may end in another thread,
-        # where the context it was made current in cannot be restored.
+        # Not made current: a generator that keeps the span open may end in another thread,
+        # which cannot restore the context of the thread that made the span current.
         span = self._tracer.start_span(
             name, context=context, kind=SpanKind.CLIENT, attributes=attributes
         )
@@ -51,11 +51,11 @@
             span.end()
 
     def close(self) -> None:
-        """Export what is left."""
+        """Export what has not been exported, and stop."""
         self._provider.shutdown()
 
     def _export_to(self, endpoint: str) -> None:
-        # Imported here: the exporter costs memory that an instance without one keeps.
+        # Imported here: an instance without an endpoint saves the exporter's memory.
         from opentelemetry.exporter.otlp.proto.http.trace_exporter import OTLPSpanExporter
         from opentelemetry.sdk.trace.export import BatchSpanProcessor
 
@@ -64,7 +64,7 @@
 
 
 def trace_headers(span: Span) -> dict[str, str]:
-    """Return the headers that carry the context of ``span`` on."""
+    """Return the headers that pass on the trace context of ``span``."""
     headers: dict[str, str] = {}
     _PROPAGATOR.inject(headers, trace.set_span_in_context(span))
     return headers
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers, one topic a module."""
+"""Small helpers, one topic in each module."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/link_threads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/link_threads.py
@@ -1,17 +1,17 @@
-"""Bounds the threads that the links' library starts by itself."""
+"""Limits the threads that the messaging library (pynng) starts by itself."""
 
 import pynng
 
-# Its own callbacks need two; names are dialled as IP numbers, and some ten links
-# carry a few messages a second.
+# The library's own callbacks need two threads. One of each other kind is enough:
+# addresses are dialled as IP numbers, and about ten links carry a few messages a second.
 TASK_THREADS = 2
 OTHER_THREADS = 1
 
 
 def limit_link_threads() -> None:
-    """Set the library's start parameters; they count from its first socket in a process.
+    """Set the library's thread counts; must run before the process opens a first socket.
 
-    Without them it starts 30 threads on 8 cores, whatever it has to do.
+    By default it starts 30 threads on 8 cores, whatever the load is.
     """
     lib = pynng.lib
     lib.nng_init_set_parameter(lib.NNG_INIT_NUM_TASK_THREADS, TASK_THREADS)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/periodic.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/periodic.py
@@ -1,4 +1,4 @@
-"""A thread that repeats one step until it is stopped."""
+"""A thread that repeats a step until it is stopped."""
 
 import threading
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 
 class Periodic:
-    """Runs ``step`` every ``interval_seconds``; a failing step is logged and repeated."""
+    """Runs ``step`` every ``interval_seconds``; a step that fails is logged and repeated."""
 
     def __init__(self, name: str, interval_seconds: float, step: Callable[[], None]) -> None:
         self._name = name
@@ -18,15 +18,15 @@
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
 
     def start(self) -> None:
-        """Begin with the first step at once."""
+        """Start the thread, which runs the first step immediately."""
         self._thread.start()
 
     def wake(self) -> None:
-        """Run the next step now instead of at the end of the interval."""
+        """Run the next step now instead of after the interval."""
         self._wake.set()
 
     def stop(self, timeout_seconds: float = 5.0) -> None:
-        """End after the current step, waiting for it at most ``timeout_seconds``."""
+        """Stop after the current step, and wait for it at most ``timeout_seconds``."""
         self._stopped = True
         self._wake.set()
         if self._thread.is_alive() and self._thread is not threading.current_thread():
@@ -37,8 +37,8 @@
             try:
                 self._step()
             except Exception as error:
-                # A step must not end its thread: a report poller that died silently
-                # would leave its upstream without an owner for the process's life.
+                # A step must not end its thread: without its report poller, an upstream
+                # would have no owner until the process is restarted.
                 log_event("step_failed", level="WARNING", task=self._name, error=repr(error))
             self._wake.wait(self._interval_seconds)
             self._wake.clear()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/sustained_condition.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/utils/sustained_condition.py
@@ -1,17 +1,17 @@
-"""Whether something has been so for a while."""
+"""Tracks for how long a condition has been true."""
 
 import time
 
 
 class SustainedCondition:
-    """Tells what has been true at each look for ``seconds``."""
+    """A condition that is sustained once it was true at each check for ``seconds``."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
         self._since: float | None = None
 
     def update(self, now_true: bool) -> bool:
-        """Note how it is now; return whether it has been true for long enough."""
+        """Record whether it is true now; return whether it is sustained."""
         if not now_true:
             self._since = None
             return False
