--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/cli.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/cli.py
@@ -29,7 +29,7 @@
     settings_file: Annotated[Path, typer.Option("--settings", help="JSON file of settings.")],
     check: Annotated[bool, typer.Option(help="Only check the settings.")] = False,
 ) -> None:
-    """Run one instance until SIGTERM; exit with 2 when the settings are not valid."""
+    """Run one instance until SIGTERM; exit with 2 if the settings are not valid."""
     if _load_or_exit(is_ingress, settings_file):
         _run_ingress(settings_file, check)
         return
@@ -37,7 +37,7 @@
     if check:
         return
     configure_logs(settings.telemetry.log_level, instance=settings.instance.id)
-    # Imported here: a settings check needs none of it.
+    # Imported here: a check of the settings does not need these modules.
     from redwingscale_daemon._internal.composition.root import build_instance
     from redwingscale_daemon._internal.utils.link_threads import limit_link_threads
 
@@ -56,13 +56,13 @@
     limit_link_threads()
 
     code = build_ingress(settings, lambda: _reload(settings_file, settings)).run()
-    # Ends the threads that wait for the store or a peer without waiting for them; a
-    # usual end would take the native library away under those that still send.
+    # Ends without joining the threads that wait for the store or a peer. A regular exit
+    # would unload the native messaging library while some of them still send.
     os._exit(code)
 
 
 def _reload(settings_file: Path, current: IngressSettings) -> None:
-    """Read the settings again; what needs a new process is only told, never done."""
+    """Read the settings again and log what has changed; changes need a restart."""
     try:
         settings = load_ingress_settings(settings_file)
     except CheckFailed as failed:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/exceptions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/exceptions.py
@@ -7,10 +7,10 @@
 
 
 class Refusal(RedwingscaleError):
-    """The final answer to a request that the system has given up on.
+    """The final answer to a request that is refused or has failed.
 
-    ``code`` is the machine-readable kind; ``retry_after_seconds`` tells the
-    caller when to come back, None when coming back cannot help.
+    ``code`` is the machine-readable kind. The caller may retry after
+    ``retry_after_seconds``, None if a retry cannot help.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self.retry_after_seconds = retry_after_seconds
 
     def document(self) -> bytes:
-        """Return the problem document (RFC 9457) that the caller gets."""
+        """Return the problem document (RFC 9457) for the caller."""
         return msgspec.json.encode(
             {
                 "type": "about:blank",
@@ -43,7 +43,7 @@
 
 
 class UpstreamError(RedwingscaleError):
-    """An attempt failed; ``run`` tells whether the upstream can have acted on it."""
+    """An attempt failed; ``run`` states whether the upstream may have run it."""
 
     def __init__(self, upstream: str, detail: str, *, run: RunState) -> None:
         super().__init__(f"{upstream}: {detail}")
@@ -53,56 +53,56 @@
 
 
 class StreamBroken(UpstreamError):
-    """A stream ended before its terminator, went silent or was not well-formed."""
+    """A stream ended before its terminator, fell silent or was malformed."""
 
 
 class StreamSilent(StreamBroken):
-    """No byte came within the bound; the upstream may be alive behind a lost connection."""
+    """No byte came in time; the connection may be lost while the upstream still runs."""
 
 
 class AttemptUnknown(UpstreamError):
-    """The upstream answers, but knows nothing of the attempt."""
+    """The upstream answers, but does not know the attempt."""
 
 
 class UpstreamUnreachable(UpstreamError):
-    """New connections to the upstream are not answered either: cut off, or its host is gone."""
+    """New connections fail too: the upstream is cut off, or its host is down."""
 
 
 class UpstreamCrashed(UpstreamError):
-    """The upstream's process ended under a running attempt."""
+    """The upstream's process ended during an attempt."""
 
 
 class ReportInvalid(RedwingscaleError):
-    """An upstream's report is nonsense; the upstream is set aside."""
+    """An upstream's report is invalid; the upstream is set aside."""
 
 
 class PlatformError(RedwingscaleError):
-    """Root of the errors of the platform's service."""
+    """Base class of the errors of the platform's service."""
 
 
 class PlatformUnavailable(PlatformError):
-    """The platform did not answer; a read has no result, a write did not start."""
+    """The platform did not answer: a read has no result, or a write did not start."""
 
 
 class WriteUnknown(PlatformError):
-    """The reply to a write was lost: it may have taken effect."""
+    """The answer to a write was lost: the write may have taken effect."""
 
 
 class LeaseLost(RedwingscaleError):
-    """The holder can no longer show that its lease is valid."""
+    """The lease holder can no longer prove that its lease is valid."""
 
 
 class HistoryGone(PlatformError):
-    """The changes since the version asked for are no longer kept: read everything."""
+    """The changes since the requested version are no longer kept: a full read is needed."""
 
 
 class CallerLeft(RedwingscaleError):
-    """The caller has closed its connection; nobody waits for the answer."""
+    """The caller has disconnected; nobody waits for the answer."""
 
 
 class TimeLimitReached(RedwingscaleError):
-    """The caller's deadline or the route's time limit has come."""
+    """The caller's deadline or the route's time limit has passed."""
 
 
 class UpstreamSilent(RedwingscaleError):
-    """An upstream sent nothing for longer than a sound one would."""
+    """An upstream sent nothing for longer than a healthy one would."""
