--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/__init__.py
@@ -1,1 +1,1 @@
-"""The composition root and the three groups of parts that it wires."""
+"""The composition root, and the groups of parts that it wires."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
@@ -1,4 +1,4 @@
-"""Wires membership and configuration, which every instance needs before it serves."""
+"""Wires membership and configuration, which an instance needs before it serves."""
 
 from typing import NamedTuple
 
@@ -22,7 +22,7 @@
 
 
 class Control(NamedTuple):
-    """The parts, not started; ``tasks`` are the threads that drive them."""
+    """The parts, not started; ``tasks`` are the threads that run their steps."""
 
     gossip: GossipState
     heartbeats: PeerHeartbeats
@@ -37,7 +37,7 @@
 
 
 def build_control(settings: Settings, platform: Platform) -> Control:
-    """Return the parts that ``settings`` describe."""
+    """Return the parts for ``settings``."""
     me, peers, timing = settings.instance, settings.peers, settings.timing
     gossip, heartbeats, traffic = GossipState(me.id), PeerHeartbeats(), Traffic()
     sender = Sender(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
@@ -1,4 +1,4 @@
-"""Wires what concerns engines: directory, ownership, placement, routing."""
+"""Wires the parts for engines: directory, ownership, placement and routing."""
 
 import random
 import time
@@ -36,7 +36,7 @@
 
 
 class Engines(NamedTuple):
-    """The parts, not started; ``tasks`` are the threads that drive them."""
+    """The parts, not started; ``tasks`` are the threads that run their steps."""
 
     directory: Directory
     in_flight: InFlight
@@ -52,7 +52,7 @@
 def build_engines(
     settings: Settings, platform: Platform, shared: Control, metrics: Metrics
 ) -> Engines:
-    """Return the parts that ``settings`` describe."""
+    """Return the parts for ``settings``."""
     me, timing = settings.instance, settings.timing
     gossip, heartbeats, members, current = (
         shared.gossip,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -38,22 +38,24 @@
 from redwingscale_daemon._internal.utils.periodic import Periodic
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
 
-# Heads and bodies beyond what any configuration allows.
+# Larger than any configuration allows.
 MAX_HEAD_BYTES = 32 << 10
 MAX_BODY_BYTES = 8 << 20
-# Callers reuse a connection that was idle for up to twelve seconds.
+# Callers reuse connections that were idle for up to 12 s.
 IDLE_SECONDS = 20
-# Each round asks each upstream once, while nobody tells what they hold.
+# Interval of the rounds that request a report of each upstream while nothing else gives
+# their residency.
 OWN_REPORTS_SECONDS = 0.4
 PROBE_THREADS = 2
-# Of the threads of the callers' port, those that only refuse: each takes milliseconds.
+# Fraction of the threads of the callers' port that only refuse requests, which takes each
+# of them milliseconds.
 REFUSING_FRACTION = 0.1
 MIN_REFUSING_THREADS = 2
 PROBE_HEAD_BYTES = 8 << 10
 
 
 def build_ingress(settings: IngressSettings, reload: Callable[[], None]) -> IngressInstance:
-    """Return the instance that ``settings`` describe; nothing is started yet."""
+    """Return the instance for ``settings``; nothing is started yet."""
     store = StoreClient(settings.store.host, settings.store.port)
     routes = CurrentRoutes()
     fleet = new_fleet(settings.instance, lambda: swaps.instances())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -1,4 +1,4 @@
-"""Wires what instances ask each other."""
+"""Wires the requests that instances send to each other."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -16,18 +16,20 @@
 from redwingscale_daemon._internal.utils.periodic import Periodic
 from redwingscale_daemon._internal.utils.sustained_condition import SustainedCondition
 
-# The first two of an instance's ports for others are those of the order giver's news.
+# Offset from the first peer port. The first two ports carry the updates between the leader
+# and the instances.
 PEER_SERVER_PORT = 2
-# An instance that the store turns away asks its peers this often.
+# How often an instance that cannot read the store queries its peers.
 PEER_QUERY_SECONDS = 0.4
-# A version that was told is read from the store first.
+# An announced version is read from the store first; peers are queried after this time.
 BEHIND_BEFORE_QUERY_SECONDS = 0.3
-# An order giver that has been silent for longer may not tell in time of a rate limit.
+# If the leader has been silent for longer, it may not announce a rate limit in time, and
+# instances send rate limits to each other.
 LEADER_SILENT_SECONDS = 0.5
 
 
 class Peers(NamedTuple):
-    """``fetch_announced`` brings a configuration that the order giver has told."""
+    """The parts; ``fetch_announced`` fetches a configuration that the leader announced."""
 
     server: PeerServer
     client: PeerClient
@@ -56,7 +58,7 @@
     behind = SustainedCondition(BEHIND_BEFORE_QUERY_SECONDS)
 
     def may_be_outdated() -> bool:
-        """Whether a newer configuration or order giver may be there that this one misses."""
+        """Return whether there may be a configuration or a leader unknown to this instance."""
         table = routes.get()
         if route_versions.current:
             current_version = table.version if table else 0
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/requests.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/requests.py
@@ -1,4 +1,4 @@
-"""Wires what a request passes: admission, claims, quarantine, relays, the callers' port."""
+"""Wires the path of a request: admission, claims, quarantine, relays, the callers' app."""
 
 import time
 from typing import NamedTuple
@@ -40,12 +40,12 @@
 QUARANTINE_POLL_SECONDS = 30.0
 CLAIM_INDEX_SECONDS = 300.0
 CLAIM_SWEEP_SECONDS = 60.0
-# How old the load in an engine's report is taken to be when it arrives.
+# Assumed age of the load in an engine's report when the report arrives.
 REPORT_LAG_SECONDS = 0.5
 
 
 class Requests(NamedTuple):
-    """The parts, not started; ``tasks`` are the threads that drive them."""
+    """The parts, not started; ``tasks`` are the threads that run their steps."""
 
     callers_app: CallersApp
     readiness: Readiness
@@ -65,7 +65,7 @@
     tracing: Tracing,
     metrics: Metrics,
 ) -> Requests:
-    """Return the parts that ``settings`` describe."""
+    """Return the parts for ``settings``."""
     me, timing = settings.instance, settings.timing
     gossip, heartbeats, members, current = (
         shared.gossip,
@@ -95,7 +95,8 @@
     )
     gate = Gate(gate_limits(settings.limits.request_threads), capacity)
     quarantine = Quarantine(me.id, gossip, QuarantineStore(platform.table))
-    # One budget for both relays: it bounds what this instance adds to a failing deployment.
+    # Both relays share one budget: it limits the load that retries of this instance add to a
+    # failing deployment.
     budget = RetryBudget()
     generation = GenerationRelay(
         RunParts(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/root.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/root.py
@@ -1,4 +1,4 @@
-"""The composition root: the one place that wires the parts of an instance."""
+"""The composition root: wires the parts of an instance."""
 
 from redwingscale_common.network.server import HttpServer, ServerLimits
 
@@ -19,7 +19,7 @@
 
 
 def build_instance(settings: Settings) -> Instance:
-    """Return the instance that ``settings`` describe; nothing is started yet."""
+    """Return the instance for ``settings``; nothing is started yet."""
     me = settings.instance
     tracing = Tracing(me.id, settings.telemetry.otlp_endpoint)
     metrics = Metrics(settings.telemetry.otlp_endpoint)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/store_reads.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/store_reads.py
@@ -1,4 +1,4 @@
-"""How an instance's reads of the store go."""
+"""The state of an instance's reads of the store."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class StoreReads(NamedTuple):
-    """Whether the list and the configuration can be read, and since when they are known."""
+    """Whether the list of upstreams and the configuration can be read, and their ages."""
 
     upstreams: LinkState
     configuration: LinkState
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -1,4 +1,4 @@
-"""Wires what gives orders to model workers, and what follows the instance that does."""
+"""Wires the leader, which sends orders to model workers, and the client that follows it."""
 
 import random
 from collections.abc import Callable
@@ -41,30 +41,32 @@
 from redwingscale_daemon._internal.utils.periodic import Periodic
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
 
-# Three renewals in a lease: one lost answer does not cost it.
+# Three renewals fit into a lease: one lost answer does not end it.
 LEASE_SECONDS = 2.0
 LEASE_STEP_SECONDS = 0.5
-# How long an instance that hears no order giver waits at the store for the next one.
+# How long an instance that receives no leader's updates waits at the store for a successor.
 LEASE_WATCH_SECONDS = 1.5
-# Two renewals that get no answer end the orders.
+# Orders are sent only for this long after a renewal: two unanswered renewals end them.
 ORDER_SECONDS = 1.2
-# The order giver tells its news to all instances and plans for all workers. A machine
-# with less than this leaves the lease to others for a while, as its own requests would
-# wait.
+# The leader sends updates to all instances and plans for all workers. On a machine with
+# less than this its own requests would be delayed: it waits for `STANDBY_SECONDS` before
+# it takes a free lease, so that others take it.
 LEADER_CORES = 1.0
 LEADER_LINK_MBPS = 100.0
 STANDBY_SECONDS = 0.75
-# Instances alike leave the lease to each other for a drawn part of this: all of them
-# would else write at the same moment, and all but one in vain.
+# Instances of the same size wait for a random fraction of this before they take a free
+# lease. Otherwise they would all write at the same moment, and all writes but one would fail.
 CONTEST_SPREAD_SECONDS = 0.25
 
 
 class Swaps(NamedTuple):
-    """``instances`` tells how many instances share the deployment's budgets.
+    """The parts for model swaps, not started.
 
-    ``is_leader`` tells whether this instance is the order giver, which reads the store
-    for all; ``list_updates`` and ``route_versions`` stand in for the reads of the others, and
-    ``fetch_announced`` brings a configuration that it has told.
+    ``instances`` returns how many instances share the deployment's budgets. ``is_leader``
+    returns whether this instance is the leader, which reads the store for all. On the
+    other instances, ``list_updates`` and ``route_versions`` replace these reads, and
+    ``fetch_announced`` fetches a configuration that the leader announced. ``release``
+    gives up the leader lease.
     """
 
     local_demand: LocalDemand
@@ -78,7 +80,7 @@
 
 
 def engine_calls() -> EngineCalls:
-    """Return how reports and orders are written on the platform."""
+    """Return how the platform encodes reports and orders."""
     return EngineCalls(
         engine.REPORT_TARGET,
         engine.ORDER_TARGET,
@@ -100,7 +102,7 @@
     reads: StoreReads,
     limiter: UseLimiter,
 ) -> Swaps:
-    """Return the parts, not started; ``start`` is an id of this process."""
+    """Return the parts, not started; ``start`` identifies this process."""
     me = settings.instance
     news_port = settings.peer_ports[0]
     needs_port = news_port + 1 if news_port else 0
@@ -125,12 +127,12 @@
     )
     lease_retry = Backoff()
     local_demand = LocalDemand()
-    # What callers ask for here, for order givers that take over later.
+    # The demand history of this instance, sent to new leaders as the initial snapshot.
     own_demand = Demand()
     bounds = settings.bounds
     list_updates = ListUpdateTracker(fleet.directory, bounds.leave)
     route_versions = RouteVersionTracker(bounds.configuration)
-    # What this instance has told last: the giver's sums hold it.
+    # The loads that this instance sent last: the leader's totals include them.
     sent_loads: list[LoadEntry] = []
     instances = InstanceCount(lambda: lease.record.instances if lease.record else 0)
 
@@ -221,7 +223,7 @@
     fleet.rates.on_update(client.wake)
 
     def follow_lease() -> None:
-        # The giver's news tell that it is there: its row is read only without them.
+        # The leader's updates show that it is alive: its row is read only without them.
         if lease.is_leader:
             lease.step()
         elif (not fleet.residency.fresh or lease.record is None) and lease_retry.due:
@@ -277,13 +279,13 @@
 
 def _standby_seconds(machine: Machine) -> float:
     small = machine.cores < LEADER_CORES or machine.link_mbps < LEADER_LINK_MBPS
-    # Not for secrets: it only spreads the writes.
+    # Not used for secrets, only to spread the writes.
     random_seconds = random.random() * CONTEST_SPREAD_SECONDS  # noqa: S311
     return random_seconds + (STANDBY_SECONDS if small else 0.0)
 
 
 def _without(total: LoadEntry, own: LoadEntry | None) -> Load:
-    # The sum may be older than what this instance has told since.
+    # The total may be older than the loads that this instance has sent since.
     if own is None:
         return Load(total.requests, total.prompt_tokens)
     return Load(
