--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
@@ -32,7 +32,7 @@
 from redwingscale_daemon._internal.upstreams.in_flight import InFlight
 from redwingscale_daemon._internal.utils.periodic import Periodic
 
-MOVES_SECONDS = 2.0
+MOVES_FLUSH_SECONDS = 2.0
 
 
 class Engines(NamedTuple):
@@ -50,15 +50,15 @@
 
 
 def build_engines(
-    settings: Settings, platform: Platform, shared: Control, metrics: Metrics
+    settings: Settings, platform: Platform, control: Control, metrics: Metrics
 ) -> Engines:
     """Return the parts for ``settings``."""
     me, timing = settings.instance, settings.timing
     gossip, heartbeats, members, current = (
-        shared.gossip,
-        shared.heartbeats,
-        shared.members,
-        shared.current,
+        control.gossip,
+        control.heartbeats,
+        control.members,
+        control.current,
     )
     directory = Directory(gossip)
     members.on_change(directory.update_members)
@@ -115,7 +115,7 @@
             Periodic("session", timing.lease_renewal, session.renew),
             Periodic("owners", timing.heartbeat, owners.step),
             Periodic("drains", STEP_SECONDS, drain_reporter.step),
-            Periodic("moves", MOVES_SECONDS, moves.flush),
+            Periodic("moves", MOVES_FLUSH_SECONDS, moves.flush),
             Periodic("planner", timing.planning, planner.step),
             Periodic("cache", timing.planning, cache_poller.step),
             Periodic("demand", timing.planning, lambda: demand.step(time.monotonic())),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/requests.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/requests.py
@@ -60,7 +60,7 @@
 def build_requests(
     settings: Settings,
     platform: Platform,
-    shared: Control,
+    control: Control,
     engines: Engines,
     tracing: Tracing,
     metrics: Metrics,
@@ -68,10 +68,10 @@
     """Return the parts for ``settings``."""
     me, timing = settings.instance, settings.timing
     gossip, heartbeats, members, current = (
-        shared.gossip,
-        shared.heartbeats,
-        shared.members,
-        shared.current,
+        control.gossip,
+        control.heartbeats,
+        control.members,
+        control.current,
     )
     readiness = Readiness(current)
     committer = Committer(platform.table)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/swaps.py
@@ -272,7 +272,10 @@
         fleet.outcomes.set_failure_ratios(update.failure_ratios)
         own = {entry.upstream: entry for entry in own_loads}
         fleet.load_tracker.set_others(
-            {entry.upstream: _without(entry, own.get(entry.upstream)) for entry in update.loads}
+            {
+                entry.upstream: _load_of_others(entry, own.get(entry.upstream))
+                for entry in update.loads
+            }
         )
     fleet.changes.notify()
 
@@ -284,7 +287,7 @@
     return random_seconds + (STANDBY_SECONDS if small else 0.0)
 
 
-def _without(total: LoadEntry, own: LoadEntry | None) -> Load:
+def _load_of_others(total: LoadEntry, own: LoadEntry | None) -> Load:
     # The total may be older than the loads that this instance has sent since.
     if own is None:
         return Load(total.requests, total.prompt_tokens)
