--- a/packages/redwingscale-daemon/tests/functional/hosted/conftest.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/conftest.py
@@ -47,7 +47,7 @@
         until(lambda: made.status() == 200, f"readiness of {name}")
         return made
 
-    def giver(self):
+    def leader(self):
         return (self.rows.value("redwingscale", "order-giver") or {}).get("instance")
 
     def stop(self):
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_answer_notices.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_backpressure.py
@@ -12,30 +12,30 @@
 # Longer than any request of the tests can wait.
 LONG_RETRY_AFTER_SECONDS = 60.0
 # Requests that were on their way at the rejection.
-SENT_BEFORE_SECONDS = 0.5
-MOST_WITHIN_RETRY_TIME = 2
+IN_FLIGHT_SECONDS = 0.5
+MAX_WITHIN_RETRY_TIME = 2
 
 
-def ask_until(instance, end, caller):
+def send_until(instance, end, caller):
     answered = []
     while time.monotonic() < end:
         answered.append(instance.ask("m1", request=f"{instance.name}-{caller}-{len(answered)}")[0])
     return answered
 
 
-def ask_all(instances, seconds):
+def send_from_all(instances, seconds):
     """Return the statuses of requests that several callers of each instance send."""
     end = time.monotonic() + seconds
     with ThreadPoolExecutor(len(instances) * CALLERS_EACH) as pool:
         sent = [
-            pool.submit(ask_until, instance, end, caller)
+            pool.submit(send_until, instance, end, caller)
             for instance in instances
             for caller in range(CALLERS_EACH)
         ]
         return [status for one in sent for status in one.result()]
 
 
-def test_upstream_that_leaves_while_the_store_is_away_gets_no_more_requests(deployment):
+def test_upstream_that_leaves_while_the_store_is_down_gets_no_more_requests(deployment):
     # Guards against requests that are lost with an upstream whose leaving the list can't tell.
     leaving = deployment.worker("w1", "m1")
     deployment.worker("w2", "m1")
@@ -43,9 +43,9 @@
     deployment.rows.down = True
     until(lambda: b"event=store_lost" in instances[0].log.read_bytes(), "the loss of the store")
     leaving.leaving = True
-    ask_all(instances, LEAVE_SECONDS)
+    send_from_all(instances, LEAVE_SECONDS)
     begun = len(leaving.runs)
-    statuses = ask_all(instances, LEAVE_SECONDS)
+    statuses = send_from_all(instances, LEAVE_SECONDS)
     assert set(statuses) == {200}
     assert len(leaving.runs) == begun
 
@@ -56,19 +56,19 @@
     deployment.worker("w2", "m1")
     one = deployment.instance("one")
     rejecting.retry_after = RETRY_AFTER_SECONDS
-    statuses = ask_all([one], 2 * RETRY_AFTER_SECONDS)
+    statuses = send_from_all([one], 2 * RETRY_AFTER_SECONDS)
     assert set(statuses) == {200}
     assert rejecting.rejections
     for rejected in (one.at for one in rejecting.rejections):
         within = [
             at
             for at in rejecting.called_at
-            if rejected + SENT_BEFORE_SECONDS < at < rejected + RETRY_AFTER_SECONDS
+            if rejected + IN_FLIGHT_SECONDS < at < rejected + RETRY_AFTER_SECONDS
         ]
-        assert len(within) <= MOST_WITHIN_RETRY_TIME
+        assert len(within) <= MAX_WITHIN_RETRY_TIME
 
 
-def test_leaving_that_one_instance_is_told_is_known_to_all(deployment):
+def test_leaving_received_by_one_instance_is_announced_to_all(deployment):
     # Guards against instances that each learn it by a request of their own.
     leaving = deployment.worker("w1", "m1")
     deployment.worker("w2", "m2")
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_cut_from_the_store.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_cut_from_the_store.py
@@ -9,10 +9,10 @@
 from redwingscale_standins.soak.faulty_link import FaultyLink
 
 # A change of the list is told to the others for three seconds.
-NO_LONGER_TOLD_SECONDS = 3.5
+ANNOUNCEMENTS_END_SECONDS = 3.5
 # Two seconds for entries that may have lapsed, one for the next read, the rest for a
 # busy machine. Unless it knows that it missed something it reads again after 20 s.
-DROPPED_SECONDS = 10.0
+DROP_TIMEOUT_SECONDS = 10.0
 
 
 @pytest.fixture
@@ -30,20 +30,20 @@
     deployment.worker("w1", "m1")
     deployment.worker("w2", "m2")
     one, two = deployment.instance("one"), deployment.instance("two", store_port=store_link.port)
-    until(lambda: deployment.giver() == "one", "the first order giver")
+    until(lambda: deployment.leader() == "one", "the first order giver")
     store_link.refuse = True
     store_link.reset()
     until(lambda: b"what=upstreams" in two.log.read_bytes(), "the loss of the store")
     one.end(signal.SIGTERM)
     # Only now: one that it had heard of would tell it of the next order giver.
     three = deployment.instance("three")
-    until(lambda: deployment.giver() == "three", "the next order giver")
+    until(lambda: deployment.leader() == "three", "the next order giver")
     deployment.rows.remove("servers", "w2")
     until(lambda: b"event=upstream_gone" in three.log.read_bytes(), "the end at the others")
-    time.sleep(NO_LONGER_TOLD_SECONDS)
+    time.sleep(ANNOUNCEMENTS_END_SECONDS)
     assert b"event=upstream_gone" not in two.log.read_bytes()
     store_link.heal()
-    until(lambda: b"event=upstream_gone" in two.log.read_bytes(), "the end", DROPPED_SECONDS)
+    until(lambda: b"event=upstream_gone" in two.log.read_bytes(), "the end", DROP_TIMEOUT_SECONDS)
 
 
 def test_key_withdrawn_during_a_cut_is_refused_at_once(deployment, store_link):
@@ -52,9 +52,9 @@
     deployment.worker("w1", "m1")
     one, two = deployment.instance("one"), deployment.instance("two", store_port=store_link.port)
     three = deployment.instance("three")
-    until(lambda: deployment.giver() == "one", "the first order giver")
+    until(lambda: deployment.leader() == "one", "the first order giver")
     assert two.ask(key="k1")[0] == 200
-    time.sleep(NO_LONGER_TOLD_SECONDS)
+    time.sleep(ANNOUNCEMENTS_END_SECONDS)
     store_link.refuse = True
     store_link.reset()
     until(lambda: b"event=store_lost" in two.log.read_bytes(), "the loss of the store")
@@ -63,5 +63,5 @@
     until(lambda: two.ask(key="k1")[0] == 401, "the end of the key")
     assert two.ask(key="k2")[0] == 200
     assert three.ask(key="k1")[0] == 401
-    until(lambda: deployment.giver() == "three", "the next order giver")
+    until(lambda: deployment.leader() == "three", "the next order giver")
     until(lambda: b"giver=three" in two.log.read_bytes(), "the next order giver at the cut one")
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_hosted.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_hosted.py
@@ -26,7 +26,7 @@
     assert [line.rsplit(" ", 1)[1] for line in counters] == ["1.0"]
 
 
-def test_model_that_nobody_holds_is_loaded_for_a_request(deployment):
+def test_model_without_holder_is_loaded_for_a_request(deployment):
     worker = deployment.worker("w1", "m1")
     one = deployment.instance("one")
     assert one.ask("m2")[0] == 200
@@ -67,7 +67,7 @@
     assert one.process.wait(20) == 0
 
 
-def test_stop_that_another_thread_receives_is_carried_out(deployment):
+def test_signal_received_by_another_thread_is_handled(deployment):
     # An instance went on serving for 30 s after it was told to stop, until it was
     # killed. The kernel may hand a signal to any thread; the handler runs in the main
     # one, which slept on a lock that only the handler would have released.
@@ -83,7 +83,7 @@
     assert one.process.wait(20) == 0
 
 
-def test_store_that_is_away_stops_no_request(deployment):
+def test_requests_are_served_while_the_store_is_down(deployment):
     deployment.worker("w1", "m1")
     one = deployment.instance("one")
     deployment.rows.down = True
@@ -106,16 +106,16 @@
     assert one.ask("m1", path="/new/x")[0] == 200
 
 
-def test_another_instance_takes_over_the_orders(deployment):
+def test_another_instance_becomes_leader(deployment):
     # The order giver is killed. Another one must take its place, with a higher
     # fencing number, and bring in what callers wait for.
     worker = deployment.worker("w1", "m1")
     first = deployment.instance("one")
-    until(lambda: deployment.giver() == "one", "the first order giver")
+    until(lambda: deployment.leader() == "one", "the first order giver")
     second = deployment.instance("two")
     assert second.ask("m2")[0] == 200
     first.end()
-    until(lambda: deployment.giver() == "two", "the second order giver")
+    until(lambda: deployment.leader() == "two", "the second order giver")
     until(lambda: second.ask("m3", request="r9")[0] == 200, "a model that is loaded anew")
     fences = [order["Fence"] for order in worker.orders]
     assert fences == sorted(fences)
@@ -148,7 +148,7 @@
         os.close(writer)
 
 
-def test_port_that_is_taken_is_told_in_one_line(deployment, tmp_path):
+def test_port_in_use_is_logged_in_one_line(deployment, tmp_path):
     deployment.worker("w1", "m1")
     one = deployment.instance("one")
     settings = {**one.settings, "callers": f"127.0.0.1:{one.ports[0]}"}
@@ -185,13 +185,13 @@
     for name in names:
         deployment.instance(name)
 
-    def told():
+    def stored_count():
         return (deployment.rows.value("redwingscale", "order-giver") or {}).get("instances", 0)
 
-    until(lambda: told() >= len(names), "the number of instances")
+    until(lambda: stored_count() >= len(names), "the number of instances")
     for instance in deployment.instances:
         instance.end()
     first = deployment.instances[0]
     first.start()
-    until(lambda: deployment.giver() == first.name, "the next order giver")
-    assert told() >= len(names)
+    until(lambda: deployment.leader() == first.name, "the next order giver")
+    assert stored_count() >= len(names)
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_rate_limits.py
@@ -19,7 +19,7 @@
 RARE_EVERY = 50
 
 
-def ask_until(instance, end, ids):
+def send_until(instance, end, ids):
     while time.monotonic() < end:
         instance.ask("m1", request=f"{instance.name}-{next(ids)}")
 
@@ -35,7 +35,7 @@
     ids = itertools.count()
     with ThreadPoolExecutor(len(instances) * CALLERS_EACH) as pool:
         for instance in instances * CALLERS_EACH:
-            pool.submit(ask_until, instance, named_at + LOAD_SECONDS, ids)
+            pool.submit(send_until, instance, named_at + LOAD_SECONDS, ids)
     assert most_in_window(worker.called_at, named_at) <= most_allowed(RATE)
 
 
@@ -61,7 +61,7 @@
     assert most_in_window(limited.called_at, named_at) <= most_allowed(RATE)
 
 
-def test_end_of_a_limit_is_found_out(deployment):
+def test_end_of_a_limit_is_detected(deployment):
     # Guards against an upstream that nobody asks any more when it could take all again.
     worker = deployment.worker("w1", "m1")
     one = deployment.instance("one")
