--- a/packages/redwingscale-daemon/tests/functional/hosted/conftest.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/conftest.py
@@ -1,4 +1,4 @@
-"""Real instances in front of a row store and model workers that run in the test's process."""
+"""Fixtures: real instances, with a row store and model workers in the test's process."""
 
 import pytest
 from redwingscale_common.network.server import HttpServer, ServerLimits
@@ -10,7 +10,7 @@
 
 
 class Deployment:
-    """A store, workers and instances."""
+    """A row store, model workers and instances."""
 
     def __init__(self, directory):
         self._directory = directory
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_backpressure.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_backpressure.py
@@ -1,4 +1,4 @@
-"""Upstreams that say in their answers that they leave, or when they may be asked again."""
+"""Upstreams whose answers say that they leave, or when requests may be retried."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -9,9 +9,9 @@
 CALLERS_EACH = 2
 LEAVE_SECONDS = 2.0
 RETRY_AFTER_SECONDS = 3.0
-# Longer than any request of the tests can wait.
+# Longer than any request of these tests can wait.
 LONG_RETRY_AFTER_SECONDS = 60.0
-# Requests that were on their way at the rejection.
+# Requests may have been in flight when the upstream rejected one.
 IN_FLIGHT_SECONDS = 0.5
 MAX_WITHIN_RETRY_TIME = 2
 
@@ -24,7 +24,7 @@
 
 
 def send_from_all(instances, seconds):
-    """Return the statuses of requests that several callers of each instance send."""
+    """Send from several callers of each instance; return the statuses."""
     end = time.monotonic() + seconds
     with ThreadPoolExecutor(len(instances) * CALLERS_EACH) as pool:
         sent = [
@@ -36,7 +36,8 @@
 
 
 def test_upstream_that_leaves_while_the_store_is_down_gets_no_more_requests(deployment):
-    # Guards against requests that are lost with an upstream whose leaving the list can't tell.
+    # Guards against requests that are lost with a leaving upstream: while the store is down,
+    # the list cannot show that it leaves.
     leaving = deployment.worker("w1", "m1")
     deployment.worker("w2", "m1")
     instances = [deployment.instance(name) for name in INSTANCES]
@@ -51,7 +52,7 @@
 
 
 def test_instance_sends_nothing_to_an_upstream_before_its_retry_time(deployment):
-    # Guards against repeats that pile up at an upstream that has asked for a pause.
+    # Guards against retries that pile up at an upstream that has requested a pause.
     rejecting = deployment.worker("w1", "m1")
     deployment.worker("w2", "m1")
     one = deployment.instance("one")
@@ -69,20 +70,20 @@
 
 
 def test_leaving_received_by_one_instance_is_announced_to_all(deployment):
-    # Guards against instances that each learn it by a request of their own.
+    # Guards against instances that each find out only by a request of their own.
     leaving = deployment.worker("w1", "m1")
     deployment.worker("w2", "m2")
     instances = [deployment.instance(name) for name in INSTANCES]
     leaving.leaving = True
     assert instances[0].ask("m1")[0] == 200
     for instance in instances:
-        until(lambda log=instance.log: b"event=upstream_leaving" in log.read_bytes(), "the news")
+        until(lambda log=instance.log: b"event=upstream_leaving" in log.read_bytes(), "the update")
     assert instances[2].ask("m1", request="later")[0] == 200
     assert leaving.runs == ["r1"]
 
 
 def test_models_of_a_rejecting_upstream_are_served_by_another(deployment):
-    # Guards against callers that are refused for as long as the only holder rejects.
+    # Guards against refused callers for as long as the only holder rejects requests.
     rejecting = deployment.worker("w1", "m1")
     others = [deployment.worker("w2", "m2"), deployment.worker("w3", "m3", "m4")]
     one = deployment.instance("one")
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_cut_from_the_store.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_cut_from_the_store.py
@@ -8,10 +8,10 @@
 from redwingscale_standins.hosted.waiting import until
 from redwingscale_standins.soak.faulty_link import FaultyLink
 
-# A change of the list is told to the others for three seconds.
+# The leader announces a change of the list for 3 s; after this time no longer.
 ANNOUNCEMENTS_END_SECONDS = 3.5
-# Two seconds for entries that may have lapsed, one for the next read, the rest for a
-# busy machine. Unless it knows that it missed something it reads again after 20 s.
+# 2 s for entries that may have lapsed, 1 s for the next read, the rest for a busy machine.
+# An instance that does not know that it lost a change reads the list only after 20 s.
 DROP_TIMEOUT_SECONDS = 10.0
 
 
@@ -23,36 +23,38 @@
 
 
 def test_upstream_that_left_during_a_cut_is_dropped_after_it(deployment, store_link):
-    # Requests were sent to an upstream 18 s after it had left, by an instance that had
-    # been cut off from the store meanwhile. Back, it read a list without the entry, kept
-    # it as one that may have lapsed, and then took the news of a new order giver for its
-    # own reads; these told nothing of what had gone before.
+    # Guards against requests that are sent to an upstream up to 18 s after it has left, by
+    # an instance that was cut off from the store meanwhile. After the cut it read a list
+    # without the entry and kept it as one that may have lapsed. Then the updates of a new
+    # leader replaced its own reads, and these did not include earlier changes.
     deployment.worker("w1", "m1")
     deployment.worker("w2", "m2")
     one, two = deployment.instance("one"), deployment.instance("two", store_port=store_link.port)
-    until(lambda: deployment.leader() == "one", "the first order giver")
+    until(lambda: deployment.leader() == "one", "the first leader")
     store_link.refuse = True
     store_link.reset()
     until(lambda: b"what=upstreams" in two.log.read_bytes(), "the loss of the store")
     one.end(signal.SIGTERM)
-    # Only now: one that it had heard of would tell it of the next order giver.
+    # Started only now: instance two would learn of the next leader from a known peer.
     three = deployment.instance("three")
-    until(lambda: deployment.leader() == "three", "the next order giver")
+    until(lambda: deployment.leader() == "three", "the next leader")
     deployment.rows.remove("servers", "w2")
-    until(lambda: b"event=upstream_gone" in three.log.read_bytes(), "the end at the others")
+    until(lambda: b"event=upstream_gone" in three.log.read_bytes(), "the removal at the others")
     time.sleep(ANNOUNCEMENTS_END_SECONDS)
     assert b"event=upstream_gone" not in two.log.read_bytes()
     store_link.heal()
-    until(lambda: b"event=upstream_gone" in two.log.read_bytes(), "the end", DROP_TIMEOUT_SECONDS)
+    until(
+        lambda: b"event=upstream_gone" in two.log.read_bytes(), "the removal", DROP_TIMEOUT_SECONDS
+    )
 
 
 def test_key_withdrawn_during_a_cut_is_refused_at_once(deployment, store_link):
-    """Guards against a withdrawn key that works on where the store turns an instance away."""
+    """Guards against a withdrawn key that still works at an instance cut off from the store."""
     deployment.rows.put("op", "config", keyed_document(2, "k1", "k2"))
     deployment.worker("w1", "m1")
     one, two = deployment.instance("one"), deployment.instance("two", store_port=store_link.port)
     three = deployment.instance("three")
-    until(lambda: deployment.leader() == "one", "the first order giver")
+    until(lambda: deployment.leader() == "one", "the first leader")
     assert two.ask(key="k1")[0] == 200
     time.sleep(ANNOUNCEMENTS_END_SECONDS)
     store_link.refuse = True
@@ -63,5 +65,5 @@
     until(lambda: two.ask(key="k1")[0] == 401, "the end of the key")
     assert two.ask(key="k2")[0] == 200
     assert three.ask(key="k1")[0] == 401
-    until(lambda: deployment.leader() == "three", "the next order giver")
-    until(lambda: b"giver=three" in two.log.read_bytes(), "the next order giver at the cut one")
+    until(lambda: deployment.leader() == "three", "the next leader")
+    until(lambda: b"giver=three" in two.log.read_bytes(), "the next leader at the cut instance")
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_hosted.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_hosted.py
@@ -1,4 +1,4 @@
-"""An instance as a process: start, reload, stop, loss of the store and of the order giver."""
+"""An instance as a process: start, reload, stop, loss of the store and of the leader."""
 
 import ctypes
 import json
@@ -38,7 +38,7 @@
     worker = deployment.worker("w1", "m1")
     one = deployment.instance("one")
     assert one.ask("m1/a2")[0] == 200
-    # A model that nobody holds may be loaded into the free room before the request comes.
+    # A model that is resident nowhere may be loaded into free memory before the request.
     adapters = [order["Adapter"] for order in worker.orders if "Adapter" in order]
     assert adapters == ["a2"]
 
@@ -49,13 +49,13 @@
     for _ in range(3):
         os.kill(one.process.pid, signal.SIGHUP)
         assert one.ask("m1")[0] == 200
-    until(lambda: b"event=reloaded" in one.log.read_bytes(), "the reload's line")
+    until(lambda: b"event=reloaded" in one.log.read_bytes(), "the log line of the reload")
     assert one.process.poll() is None
 
 
 def test_planned_stop_finishes_open_streams(deployment):
-    # An instance is replaced while it carries streams; each of them must reach its
-    # end, and the process must end by itself within its grace period.
+    # An instance is stopped while streams are open: each stream must complete, and the
+    # process must end by itself within its grace period.
     deployment.worker("w1", "m1", timing=WorkerTiming(gap=0.1))
     one = deployment.instance("one")
     with ThreadPoolExecutor(5) as pool:
@@ -68,9 +68,9 @@
 
 
 def test_signal_received_by_another_thread_is_handled(deployment):
-    # An instance went on serving for 30 s after it was told to stop, until it was
-    # killed. The kernel may hand a signal to any thread; the handler runs in the main
-    # one, which slept on a lock that only the handler would have released.
+    # Guards against an instance that serves for 30 s after a stop signal, until it is
+    # killed. The kernel may deliver a signal to any thread; the handler runs in the main
+    # thread, which slept on a lock that only the handler would have released.
     deployment.worker("w1", "m1")
     one = deployment.instance("one")
     pid = one.process.pid
@@ -79,7 +79,7 @@
     for number in (signal.SIGHUP, signal.SIGTERM):
         assert ctypes.CDLL(None).tgkill(pid, other, number) == 0
         done = {signal.SIGHUP: b"event=reloaded", signal.SIGTERM: b"event=draining"}[number]
-        until(lambda line=done: line in one.log.read_bytes(), "what the signal asks for")
+        until(lambda line=done: line in one.log.read_bytes(), "the effect of the signal")
     assert one.process.wait(20) == 0
 
 
@@ -91,7 +91,7 @@
     assert one.ask("m1")[0] == 200
     assert one.status() == 200
     deployment.rows.down = False
-    until(lambda: b"event=store_regained" in one.log.read_bytes(), "its return")
+    until(lambda: b"event=store_regained" in one.log.read_bytes(), "the recovery of the store")
 
 
 def test_change_of_the_configuration_is_in_force(deployment):
@@ -102,21 +102,21 @@
     until(lambda: one.ask("m1", path="/new/x")[0] == 200, "the new route")
     assert one.ask("m1", path="/live/x")[0] == 404
     deployment.rows.put("op", "config", document(1))
-    until(lambda: b"before=1" in one.log.read_bytes(), "the newer version's line")
+    until(lambda: b"before=1" in one.log.read_bytes(), "the log line of the version change")
     assert one.ask("m1", path="/new/x")[0] == 200
 
 
 def test_another_instance_becomes_leader(deployment):
-    # The order giver is killed. Another one must take its place, with a higher
-    # fencing number, and bring in what callers wait for.
+    # The leader is killed. Another instance must become leader, with a higher fencing
+    # number, and load the model that callers wait for.
     worker = deployment.worker("w1", "m1")
     first = deployment.instance("one")
-    until(lambda: deployment.leader() == "one", "the first order giver")
+    until(lambda: deployment.leader() == "one", "the first leader")
     second = deployment.instance("two")
     assert second.ask("m2")[0] == 200
     first.end()
-    until(lambda: deployment.leader() == "two", "the second order giver")
-    until(lambda: second.ask("m3", request="r9")[0] == 200, "a model that is loaded anew")
+    until(lambda: deployment.leader() == "two", "the second leader")
+    until(lambda: second.ask("m3", request="r9")[0] == 200, "a model that the second leader loads")
     fences = [order["Fence"] for order in worker.orders]
     assert fences == sorted(fences)
     assert [worker.orders[0]["Holder"], worker.orders[-1]["Holder"]] == ["one", "two"]
@@ -128,15 +128,18 @@
     one = deployment.instance("one")
     deployment.worker("w2", "m1")
     deployment.rows.put("servers", "w1", deployment.entry(leaving, 1, "draining"))
-    until(lambda: b"event=upstream_leaving" in one.log.read_bytes(), "the leaving sign")
+    until(
+        lambda: b"event=upstream_leaving" in one.log.read_bytes(),
+        "the log line of the leaving upstream",
+    )
     runs = len(leaving.runs)
     assert all(one.ask("m1", request=f"r{n}")[0] == 200 for n in range(5))
     assert len(leaving.runs) == runs
 
 
 def test_logs_that_nobody_reads_block_no_request(deployment):
-    # Whoever collects standard output hangs: the pipe is full after 64 KB, and a
-    # thread that wrote its line there would wait for ever, with its caller.
+    # The reader of standard output hangs: the pipe is full after 64 KB, and a thread that
+    # wrote a log line to it would block forever, and its caller with it.
     reader, writer = os.pipe()
     deployment.worker("w1", "m1")
     one = deployment.instance("one", pipe=(reader, writer))
@@ -162,8 +165,9 @@
 
 
 def test_requests_beyond_the_threads_are_refused_while_probes_answer(deployment):
-    # A burst took every thread of an instance: what came on top lay unread until its
-    # callers left. Now it is told at once that it has not run, and when to come back.
+    # Guards against a burst that takes all threads of an instance: further requests stayed
+    # unread until their callers disconnected. They must be refused at once as not run, with
+    # a time for a retry.
     deployment.worker("w1", "m1", timing=WorkerTiming(gap=0.2))
     one = deployment.instance("one")
     answering = one.settings["request_threads"] - 3
@@ -179,7 +183,7 @@
 
 
 def test_number_of_instances_outlasts_their_processes(deployment):
-    """Guards against instances that all begin anew and each take a sixth of a limit."""
+    """Guards against instances that all restart and each take a sixth of a limit."""
     deployment.worker("w1", "m1")
     names = [f"n{number}" for number in range(8)]
     for name in names:
@@ -193,5 +197,5 @@
         instance.end()
     first = deployment.instances[0]
     first.start()
-    until(lambda: deployment.leader() == first.name, "the next order giver")
+    until(lambda: deployment.leader() == first.name, "the next leader")
     assert stored_count() >= len(names)
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Upstreams that advertise how many requests they take of all instances together."""
+"""Upstreams with a limit on the requests of all instances together."""
 
 import itertools
 import time
@@ -25,7 +25,7 @@
 
 
 def test_all_instances_together_keep_the_rate_limit_of_an_upstream(deployment):
-    # Guards against instances that each send an upstream with a limit as much as before.
+    # Guards against instances that each send as many requests as without a limit.
     worker = deployment.worker("w1", "m1")
     instances = [deployment.instance(name) for name in ("one", "two", "three")]
     worker.rate_limit = RATE
@@ -40,7 +40,7 @@
 
 
 def test_models_of_an_upstream_with_a_limit_are_served(deployment):
-    # Guards against callers that lose all models of an upstream that takes few requests.
+    # Guards against callers that lose all models of an upstream with a low limit.
     limited = deployment.worker("w1", "m1", "m2")
     deployment.worker("w2", "m3")
     instances = [deployment.instance(name) for name in ("one", "two")]
@@ -62,13 +62,13 @@
 
 
 def test_end_of_a_limit_is_detected(deployment):
-    # Guards against an upstream that nobody asks any more when it could take all again.
+    # Guards against an upstream that gets no more requests after its limit has ended.
     worker = deployment.worker("w1", "m1")
     one = deployment.instance("one")
     worker.rate_limit = RATE
     assert one.ask("m1", request="first")[0] == 200
     worker.rate_limit = None
     assert one.ask("m1", request="second")[0] == 200
-    until(lambda: b"upstream_rate_limit" in one.log.read_bytes(), "the rate's line")
-    until(lambda: b"per_second=- before=1.0" in one.log.read_bytes(), "the end of the need")
+    until(lambda: b"upstream_rate_limit" in one.log.read_bytes(), "the log line of the limit")
+    until(lambda: b"per_second=- before=1.0" in one.log.read_bytes(), "the end of the limit")
     assert all(one.ask("m1", request=f"r{n}")[0] == 200 for n in range(20))
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_soak.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_soak.py
@@ -1,4 +1,4 @@
-"""Seeds of the fault soak: real instances, faults from outside, promises checked throughout."""
+"""Seeds of the fault soak: real instances with injected faults, checked throughout."""
 
 import threading
 
@@ -14,16 +14,17 @@
 INSTANCES = 3
 
 
-# One of planned work only, where nothing may be cut, and two of all faults.
+# One seed has planned work only, where no request may be cut; two have all faults.
 @pytest.mark.parametrize("seed", [1, 2, 4])
 def test_no_promise_is_broken(seed, tmp_path):
     _play(seed, SECONDS, INSTANCES, tmp_path)
 
 
 def test_upstream_that_leaves_in_a_pause_of_the_order_giver(tmp_path):
-    # All instances but the order giver sent requests to an upstream for 12 s after it was
-    # taken off the list. The giver's link to the store had fallen silent for half a
-    # second, it rested and forgot what it had told, and went on under the same number.
+    # Guards against requests of all instances but the leader to an upstream for 12 s after
+    # it was removed from the list. The leader's link to the store was silent for 0.5 s: the
+    # leader paused, lost the changes that it had announced, and continued with the same
+    # fencing number.
     _play(109, 20.0, 4, tmp_path)
 
 
@@ -34,9 +35,9 @@
 
 
 def test_link_without_room_for_a_thread_goes_on_with_the_next_connection(deployment, monkeypatch):
-    # A soak found that no model was served by anybody for 30 s: a worker took every
-    # connection and sent nothing. The machine had no room for one more thread; the
-    # link's own accepting thread ended with the error, which nobody saw.
+    # Guards against a worker that accepts every connection and sends nothing, so that no
+    # model is served for 30 s. The machine could not start one more thread, and the accepting
+    # thread of the link ended with that error unnoticed.
     link = FaultyLink(deployment.store_port)
     start, refused = threading.Thread.start, []
 
@@ -56,9 +57,9 @@
 
 
 def test_soak_that_fails_in_a_fault_leaves_no_process(tmp_path, monkeypatch):
-    # The machine had no room for one more thread: the soak ended in an error while it
-    # was killing an instance, cleaned up, and the kill started the instance again. The
-    # process was found at the end of the session.
+    # Guards against a process that outlives the soak. The machine could not start one more
+    # thread: the soak failed while it was killing an instance and cleaned up, and then the
+    # kill restarted the instance.
     worlds = []
 
     class Watched(World):
@@ -74,7 +75,7 @@
     monkeypatch.setattr(Faults, "run", run)
     with pytest.raises(RuntimeError, match="new thread"):
         soak.play(1, SECONDS, 2, tmp_path)
-    # Threads that the soak has left may still start what it has ended.
+    # Threads left by the soak may still restart instances that it has ended.
     for thread in [one for one in threading.enumerate() if one.name.startswith("kill ")]:
         thread.join(30.0)
     left = [node.name for node in worlds[0].nodes if node.process.process.poll() is None]
--- a/packages/redwingscale-daemon/tests/unit/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/conftest.py
@@ -1,4 +1,4 @@
-"""In-process stand-ins on real sockets."""
+"""Fixtures: in-process stand-ins on real sockets."""
 
 import pytest
 from redwingscale_common.network.server import HttpServer, ServerLimits
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def serve():
-    """Serve a handler on a free port; return its URL."""
+    """Return a function that serves a handler on a free port and returns its URL."""
     servers = []
 
     def start(handler):
@@ -25,11 +25,11 @@
 
 @pytest.fixture
 def platform_url(serve):
-    """A platform without faults."""
+    """The URL of a platform without faults."""
     return serve(PlatformApi(WeightStore(1e12, 8)))
 
 
 @pytest.fixture
 def plain_url(serve):
-    """A plain service that records what it runs."""
+    """The URL of a plain service that records the requests that it runs."""
     return serve(PlainApi("register"))
