--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -43,8 +43,8 @@
 MAX_BODY_BYTES = 8 << 20
 # Callers reuse connections that were idle for up to 12 s.
 IDLE_SECONDS = 20
-# Interval of the rounds that request a report of each upstream while nothing else gives
-# their residency.
+# Interval of the rounds in which each upstream gets one request for its report, while neither
+# the leader nor the list gives current residency.
 OWN_REPORTS_SECONDS = 0.4
 PROBE_THREADS = 2
 # Fraction of the threads of the callers' port that only refuse requests, which takes each
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/backoff.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/backoff.py
@@ -7,7 +7,7 @@
 MAX_PAUSE_SECONDS = 1.0
 GROWTH_FACTOR = 2.0
 # Random fraction of each pause (jitter). Without it, instances that the store refused at
-# the same moment would all retry at the same moment, for as long as the store is away.
+# the same moment would all retry at the same moment, for as long as the store is down.
 RANDOM_FRACTION = 0.5
 
 
