--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/capacity.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/capacity.py
@@ -81,7 +81,7 @@
         now = self._clock()
         if not samples or now - samples[-1].taken_at >= self._lag_seconds / SAMPLES_IN_LAG:
             samples.append(_Sample(now, here))
-        true_at = view.seen_at - self._lag_seconds
+        true_at = view.received_at - self._lag_seconds
         older = list(itertools.takewhile(lambda s: s.taken_at <= true_at, samples))
         while len(samples) > 1 and samples[1].taken_at <= true_at:
             samples.popleft()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_watch.py
@@ -52,8 +52,8 @@
         valid = view.digest is not None and not view.digest.set_aside
         return valid and self._silent_seconds(view, now) <= SILENT_SECONDS
 
-    def _silent_seconds(self, view: EngineView, now: float) -> float:
-        return now - max(view.seen_at, self._listening_since)
+    def _quiet(self, view: EngineView, now: float) -> float:
+        return now - max(view.received_at, self._listening_since)
 
     def _room(
         self, view: EngineView, cache_share: float, now: float, reporting_domains: set[str]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/freshness.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/freshness.py
@@ -31,12 +31,12 @@
             # All engines are looked at once a second, not for each request.
             self._renew_at = now + RENEW_SECONDS
             self._newest_by_domain = self._newest()
-        newest = self._newest_by_domain.get(view.member.failure_domain, view.seen_at)
-        return newest - view.seen_at > STALE_SECONDS
+        newest = self._newest_by_domain.get(view.member.failure_domain, view.received_at)
+        return newest - view.received_at > STALE_SECONDS
 
     def _newest(self) -> dict[str, float]:
         newest: dict[str, float] = {}
         for view in self._engines().values():
             domain = view.member.failure_domain
-            newest[domain] = max(newest.get(domain, view.seen_at), view.seen_at)
+            newest[domain] = max(newest.get(domain, view.received_at), view.received_at)
         return newest
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/load_estimate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/load_estimate.py
@@ -35,10 +35,10 @@
         if (digest := view.digest) is None:
             return float(here)
         reported = digest.running + digest.waiting
-        seen_at, before = self._at_report.get(view.member.id, (0.0, 0))
-        if seen_at != view.seen_at:
+        received_at, before = self._at_report.get(view.member.id, (0.0, 0))
+        if received_at != view.received_at:
             before = here
-            self._at_report[view.member.id] = (view.seen_at, here)
+            self._at_report[view.member.id] = (view.received_at, here)
             self._learn_factor(reported, here)
         expected = reported + self._factor * (here - before)
         return max(here, expected) / max(1, digest.slots)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/directory.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/directory.py
@@ -15,11 +15,11 @@
 
 
 class EngineView(NamedTuple):
-    """An engine with its newest digest; ``seen_at`` is on the monotonic clock."""
+    """An engine with its newest digest; ``received_at`` is on the monotonic clock."""
 
     member: EngineMember
     digest: Digest | None
-    seen_at: float
+    received_at: float
 
     @property
     def leaving(self) -> bool:
@@ -100,5 +100,5 @@
         self._ready_by_unit = ready
 
     def _view(self, member: EngineMember) -> EngineView:
-        digest, seen_at = self._digests.get(member.id, (None, 0.0))
-        return EngineView(member, digest, seen_at)
+        digest, received_at = self._digests.get(member.id, (None, 0.0))
+        return EngineView(member, digest, received_at)
--- a/packages/redwingscale-daemon/tests/unit/routing/test_policies.py
+++ b/packages/redwingscale-daemon/tests/unit/routing/test_policies.py
@@ -95,7 +95,7 @@
             for e in engines.values():
                 load = {"running": len(e.running), "waiting": len(e.waiting)}
                 digest = e.view.digest._replace(**load)
-                e.view = e.view._replace(digest=digest, seen_at=now * TICK_SECONDS)
+                e.view = e.view._replace(digest=digest, received_at=now * TICK_SECONDS)
     hits, blocks = (sum(getattr(e, f) for e in engines.values()) for f in ("hits", "blocks"))
     return Outcome(on_time, hits, blocks)
 
--- a/packages/redwingscale-daemon/tests/unit/test_admission.py
+++ b/packages/redwingscale-daemon/tests/unit/test_admission.py
@@ -202,9 +202,9 @@
     def engines_with(self, unit):
         return [self.view]
 
-    def report(self, running, seen_at):
+    def report(self, running, received_at):
         digest = Digest("e", 1, False, 0, (), running, 0, SLOTS)
-        self.view = EngineView(self.member, digest, seen_at)
+        self.view = EngineView(self.member, digest, received_at)
 
 
 def test_room_corrects_a_lagging_report_by_what_ran_here_since():
@@ -218,14 +218,14 @@
     members.by_id = {name: InstanceMember(name, "a", "r", False, "", "", "") for name in "abcdefgh"}
     me = InstanceSettings("one", "a", "r")
     capacity = Capacity(me, directory, members, in_flight, 1.0, lambda: now[0])
-    directory.report(running=4, seen_at=10.0)
+    directory.report(running=4, received_at=10.0)
     assert capacity.room("m").free == SLOTS / 8
     spans = [in_flight.at("e") for _ in range(6)]
     for span in spans:
         span.__enter__()
     now[0] = 10.5
     assert capacity.room("m").free == (SLOTS - 10) / 8
-    directory.report(running=10, seen_at=12.0)
+    directory.report(running=10, received_at=12.0)
     now[0] = 12.0
     assert capacity.room("m").free == (SLOTS - 10) / 8
     for span in spans[:5]:
