--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -88,7 +88,7 @@
             self._turn = parts.quarantine.enter(
                 request.fingerprint, engine.id, self._progress.position, request.deadline_at
             )
-            if self._turn is None or engine.id not in parts.reachability.shunned():
+            if self._turn is None or engine.id not in parts.reachability.unreachable():
                 return engine
             # It died while the turn was awaited.
             self._leave_turn()
@@ -116,9 +116,9 @@
 
     def _candidate(self) -> EngineMember | None:
         """Return the best engine; those that failed this request come last."""
-        shunned = self._parts.reachability.shunned()
-        engine = self._routed(self._failed | shunned)
-        return engine or (self._routed(shunned) if self._failed else None)
+        unreachable = self._parts.reachability.unreachable()
+        engine = self._routed(self._failed | unreachable)
+        return engine or (self._routed(unreachable) if self._failed else None)
 
     def _routed(self, excluded: set[str]) -> EngineMember | None:
         router, request = self._parts.router, self._request
@@ -250,7 +250,7 @@
         if error.run is not RunState.NOT_RUN:
             self._state = error.run
         if isinstance(error, UpstreamCrashed | UpstreamUnreachable) or is_refused(error):
-            self._parts.reachability.failed(engine.id)
+            self._parts.reachability.note_unreachable(engine.id)
         if isinstance(error, UpstreamCrashed):
             turn, self._turn = self._turn, None
             self._parts.quarantine.engine_died(self._request.fingerprint, engine.id, turn)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/reachability.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/reachability.py
@@ -3,7 +3,7 @@
 import threading
 import time
 
-SHUNNED_SECONDS = 1.0
+UNREACHABLE_SECONDS = 1.0
 
 
 class Reachability:
@@ -11,16 +11,16 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._shunned_until: dict[str, float] = {}
+        self._unreachable_until: dict[str, float] = {}
 
-    def failed(self, upstream: str) -> None:
+    def note_unreachable(self, upstream: str) -> None:
         """Record that no connection to ``upstream`` could be made just now."""
         with self._lock:
-            self._shunned_until[upstream] = time.monotonic() + SHUNNED_SECONDS
+            self._unreachable_until[upstream] = time.monotonic() + UNREACHABLE_SECONDS
 
-    def shunned(self) -> set[str]:
+    def unreachable(self) -> set[str]:
         """Return the upstreams to leave alone for now."""
         now = time.monotonic()
         with self._lock:
-            self._shunned_until = {u: t for u, t in self._shunned_until.items() if t > now}
-            return set(self._shunned_until)
+            self._unreachable_until = {u: t for u, t in self._unreachable_until.items() if t > now}
+            return set(self._unreachable_until)
