--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/requests.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/requests.py
@@ -115,7 +115,7 @@
     states = PlainStates(gossip, members)
     watchers = Watchers(me, members, heartbeats, timing.lease)
     plain_watch = PlainWatch(
-        members, gossip, watchers.include_me, timing.report_poll, timing.connect
+        members, gossip, watchers.includes_this_instance, timing.report_poll, timing.connect
     )
     plain = PlainRelay(
         engines.router,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_state.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_state.py
@@ -32,9 +32,9 @@
 
     def leaving(self, service: str) -> list[str]:
         """Return the ids of the upstreams of ``service`` that said that they leave."""
-        return [m.id for m in self._members.plain(service) if self._said_so(m)]
+        return [m.id for m in self._members.plain(service) if self._is_leaving(m)]
 
-    def _said_so(self, member: PlainMember) -> bool:
+    def _is_leaving(self, member: PlainMember) -> bool:
         # A state of another address is of a process before this one: its end says
         # nothing about the one that replaced it.
         state = self._states_by_id.get(member.id)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_watch.py
@@ -33,25 +33,25 @@
         self,
         members: Members,
         gossip: GossipState,
-        falls_here: Callable[[PlainMember], bool],
+        is_watched_here: Callable[[PlainMember], bool],
         poll_seconds: float,
         connect_seconds: float,
     ) -> None:
         self._members = members
         self._gossip = gossip
-        self._falls_here = falls_here
+        self._is_watched_here = is_watched_here
         self._poll_seconds = poll_seconds
         self._timeout = timeout(connect_seconds, READ_SECONDS)
         self._pool = new_pool(connections=1)
         self._tasks_by_id: dict[str, Periodic] = {}
-        self._told_by_id: dict[str, tuple[PlainState, float]] = {}
+        self._published_by_id: dict[str, tuple[PlainState, float]] = {}
 
     def step(self) -> None:
         """Start to watch the upstreams that fall here, and end it for the others."""
         wanted = {
             m.id
             for m in self._members.by_id.values()
-            if isinstance(m, PlainMember) and self._falls_here(m)
+            if isinstance(m, PlainMember) and self._is_watched_here(m)
         }
         for upstream in self._tasks_by_id.keys() - wanted:
             self._tasks_by_id.pop(upstream).stop()
@@ -65,17 +65,17 @@
         self._tasks_by_id.clear()
 
     def _start(self, upstream: str) -> None:
-        task = Periodic(f"plain-{upstream}", self._poll_seconds, lambda: self._ask(upstream))
+        task = Periodic(f"plain-{upstream}", self._poll_seconds, lambda: self._poll(upstream))
         self._tasks_by_id[upstream] = task
         task.start()
 
-    def _ask(self, upstream: str) -> None:
+    def _poll(self, upstream: str) -> None:
         member = self._members.by_id.get(upstream)
         if not isinstance(member, PlainMember):
             return
         leaving = self._read_leaving(member)
         if leaving is not None:
-            self._tell(PlainState(member.id, member.url, leaving))
+            self._publish_if_due(PlainState(member.id, member.url, leaving))
 
     def _read_leaving(self, member: PlainMember) -> bool | None:
         """Return what the upstream says; None when it says nothing."""
@@ -91,12 +91,12 @@
             # is a sign that it leaves. A dead one shows by refused connections.
             return None
 
-    def _tell(self, state: PlainState) -> None:
-        told, told_at = self._told_by_id.get(state.upstream, (None, 0.0))
+    def _publish_if_due(self, state: PlainState) -> None:
+        published, published_at = self._published_by_id.get(state.upstream, (None, 0.0))
         now = time.monotonic()
-        if state == told and now - told_at < REPEAT_SECONDS:
+        if state == published and now - published_at < REPEAT_SECONDS:
             return
-        if state.leaving and state != told:
+        if state.leaving and state != published:
             log_event("upstream_leaving", upstream=state.upstream, sign="its own state")
-        self._told_by_id[state.upstream] = (state, now)
+        self._published_by_id[state.upstream] = (state, now)
         self._gossip.publish(TOPIC, state.upstream, state)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/watchers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/watchers.py
@@ -26,7 +26,7 @@
         self._heartbeats = heartbeats
         self._silence_seconds = silence_seconds
 
-    def include_me(self, upstream: PlainMember) -> bool:
+    def includes_this_instance(self, upstream: PlainMember) -> bool:
         """Return whether this instance watches ``upstream``."""
         if upstream.failure_domain != self._instance.failure_domain:
             return False
