--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -30,7 +30,7 @@
 from redwingscale_daemon._internal.relay.progress import Progress
 from redwingscale_daemon._internal.relay.run_parts import RunParts
 from redwingscale_daemon._internal.telemetry.tracing import trace_headers
-from redwingscale_daemon._internal.upstreams.engine_client import is_refused
+from redwingscale_daemon._internal.upstreams.engine_client import is_connection_refused
 from redwingscale_daemon._internal.upstreams.engine_stream import EngineStream
 from redwingscale_daemon._internal.upstreams.probe import Probe
 
@@ -249,7 +249,7 @@
         self._failed.add(engine.id)
         if error.run is not RunState.NOT_RUN:
             self._state = error.run
-        if isinstance(error, UpstreamCrashed | UpstreamUnreachable) or is_refused(error):
+        if isinstance(error, UpstreamCrashed | UpstreamUnreachable) or is_connection_refused(error):
             self._parts.reachability.note_unreachable(engine.id)
         if isinstance(error, UpstreamCrashed):
             turn, self._turn = self._turn, None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_client.py
@@ -71,7 +71,7 @@
         except StreamBroken:
             raise
         except UpstreamError as error:
-            kind = UpstreamCrashed if is_refused(error) else UpstreamUnreachable
+            kind = UpstreamCrashed if is_connection_refused(error) else UpstreamUnreachable
             raise kind(engine.id, error.detail, run=RunState.UNKNOWN) from error
         if response.status == OK:
             return EngineStream(engine, attempt_id, response)
@@ -91,7 +91,7 @@
         except StreamBroken:
             return Probe.ANSWERED
         except UpstreamError as error:
-            return Probe.REFUSED if is_refused(error) else Probe.NO_ANSWER
+            return Probe.REFUSED if is_connection_refused(error) else Probe.NO_ANSWER
         return Probe.ANSWERED
 
     def cancel(self, engine: EngineMember, attempt_id: str) -> None:
@@ -140,7 +140,7 @@
             raise StreamBroken(engine.id, repr(error), run=RunState.UNKNOWN) from error
 
 
-def is_refused(error: UpstreamError) -> bool:
+def is_connection_refused(error: UpstreamError) -> bool:
     """Return whether the host itself said that nothing listens: its process has ended.
 
     A connection that could not be made for another reason may only be cut off.
