--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_reporter.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/drain_reporter.py
@@ -72,6 +72,6 @@
         drained = [unit for unit in digest.retiring if self._is_drained(engine, unit, seen.seen_at)]
         return DrainAck(engine, mark, tuple(drained))
 
-    def _is_drained(self, engine: str, unit: str, seen_at: float) -> bool:
-        settled_at = seen_at + SETTLE_SECONDS
-        return self._clock() > settled_at and not self._in_flight.uses(engine, unit, settled_at)
+    def _is_drained(self, engine: str, unit: str, heard_at: float) -> bool:
+        settled_at = heard_at + SETTLE_SECONDS
+        return self._clock() > settled_at and not self._in_flight.may_use(engine, unit, settled_at)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/plain.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/plain.py
@@ -122,7 +122,7 @@
     ) -> PlainAnswer:
         remaining = request.deadline_at - time.monotonic() + grace_seconds
         with (
-            self._in_flight.at(member.id),
+            self._in_flight.track(member.id),
             self._tracing.hop_span("attempt", span, upstream=member.id) as hop,
         ):
             self._metrics.attempts.add(1, {"upstream": member.id})
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -137,7 +137,7 @@
         attempt = self._new_attempt()
         self._attempts += 1
         with (
-            parts.in_flight.at(engine.id, str(self._unit)),
+            parts.in_flight.track(engine.id, str(self._unit)),
             parts.tracing.hop_span("attempt", self._span, upstream=engine.id) as hop,
         ):
             parts.metrics.attempts.add(1, {"upstream": engine.id})
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/in_flight.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/in_flight.py
@@ -26,7 +26,7 @@
         self._counts: Counter[str] = Counter()
 
     @contextmanager
-    def at(self, upstream: str, unit: str = "") -> Iterator[None]:
+    def track(self, upstream: str, unit: str = "") -> Iterator[None]:
         """Count one request at ``upstream`` for the time of the block.
 
         A request that names no ``unit`` counts as using each of them.
@@ -51,7 +51,7 @@
         with self._lock:
             return sum(self._counts.values())
 
-    def uses(self, upstream: str, unit: str, before: float) -> bool:
+    def may_use(self, upstream: str, unit: str, before: float) -> bool:
         """Return whether a request that began ``before`` may use ``unit`` there."""
         with self._lock:
             return any(
--- a/packages/redwingscale-daemon/tests/unit/routing/test_policies.py
+++ b/packages/redwingscale-daemon/tests/unit/routing/test_policies.py
@@ -87,7 +87,7 @@
             prompt = prompts[int(len(prompts) * rng.random() ** 2)]
             router, in_flight = rng.choice(routers)
             chosen = router.route(Unit("m", "v1"), prompt).view.member.id
-            span = in_flight.at(chosen)
+            span = in_flight.track(chosen)
             span.__enter__()
             engines[chosen].waiting.append((now, block_digests("m@v1", prompt), span))
         on_time += sum(engine.tick(now) for engine in engines.values())
--- a/packages/redwingscale-daemon/tests/unit/routing/test_router.py
+++ b/packages/redwingscale-daemon/tests/unit/routing/test_router.py
@@ -97,7 +97,7 @@
     (home,) = _chosen(router, count=5, prompt=PROMPT)
     with ExitStack() as stack:
         for _ in range(10):
-            stack.enter_context(in_flight.at(home))
+            stack.enter_context(in_flight.track(home))
         elsewhere = _chosen(router, count=1, prompt=PROMPT)
 
     assert home not in elsewhere
@@ -119,7 +119,7 @@
             router = make_router(seed=seed, in_flight=in_flight)
             for _ in range(16):
                 sent.append(router.route(V1, "").view.member.id)
-                stack.enter_context(in_flight.at(sent[-1]))
+                stack.enter_context(in_flight.track(sent[-1]))
 
     assert max(sent.count(f"e{n}") for n in range(8)) <= 2 * len(sent) / 8
 
--- a/packages/redwingscale-daemon/tests/unit/test_admission.py
+++ b/packages/redwingscale-daemon/tests/unit/test_admission.py
@@ -220,7 +220,7 @@
     capacity = Capacity(me, directory, members, in_flight, 1.0, lambda: now[0])
     directory.report(running=4, received_at=10.0)
     assert capacity.room("m").free == SLOTS / 8
-    spans = [in_flight.at("e") for _ in range(6)]
+    spans = [in_flight.track("e") for _ in range(6)]
     for span in spans:
         span.__enter__()
     now[0] = 10.5
--- a/packages/redwingscale-daemon/tests/unit/test_drains.py
+++ b/packages/redwingscale-daemon/tests/unit/test_drains.py
@@ -75,14 +75,14 @@
 
     Another instance than the owner has a stream on the unit when the owner retires it.
     """
-    with scene.in_flight[1].at("e1", unit):
+    with scene.in_flight[1].track("e1", unit):
         scene.clock.advance(0.1)
         scene.retire({"m@v1"}, fence=1)
         scene.report()
-        with scene.in_flight[1].at("e1", "n@v1"):
+        with scene.in_flight[1].track("e1", "n@v1"):
             scene.report()
             assert scene.retirements.drained() == set()
-    with scene.in_flight[1].at("e1", ""):
+    with scene.in_flight[1].track("e1", ""):
         scene.report()
         assert scene.retirements.drained() == {"m@v1"}
 
@@ -94,7 +94,7 @@
     """
     scene.retire({"m@v1"}, fence=1)
     scene.reporters[1].step()
-    with scene.in_flight[1].at("e1", "m@v1"):
+    with scene.in_flight[1].track("e1", "m@v1"):
         scene.report()
         assert scene.retirements.drained() == set()
 
