--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
@@ -15,10 +15,10 @@
 from redwingscale_daemon._internal.exceptions import Refusal
 from redwingscale_daemon._internal.models.generation import EndEvent, StreamEvent
 
-LOOK_SECONDS = 0.05
+RECHECK_SECONDS = 0.05
 # An admitted request counts at its engine from its attempt on; until then it is
 # held against the room, for this long at most.
-ON_ITS_WAY_SECONDS = 0.02
+DISPATCH_SECONDS = 0.02
 LEAST_RETRY_AFTER_SECONDS = 0.5
 # A newcomer's estimated wait may take this part of the time that it has to spare.
 # With all of it the queue stays as long as can just be in time, and half of those
@@ -64,7 +64,7 @@
         self._queue = FairQueue()
         self._rates = ServiceRates()
         self._running: Counter[str] = Counter()
-        self._on_their_way: list[Ticket] = []
+        self._dispatching: list[Ticket] = []
 
     @property
     def waiting(self) -> int:
@@ -72,7 +72,7 @@
         return len(self._queue)
 
     @contextmanager
-    def hold(self, arrival: Arrival) -> Iterator[Ticket]:
+    def admitted(self, arrival: Arrival) -> Iterator[Ticket]:
         """Run the block as an admitted request; raise `Refusal`."""
         ticket = self.enter(arrival)
         try:
@@ -83,14 +83,14 @@
     def enter(self, arrival: Arrival) -> Ticket:
         """Block until the request may run; raise `Refusal` as soon as it cannot be in time."""
         ticket = self.offer(arrival)
-        while not ticket.is_decided(LOOK_SECONDS):
+        while not ticket.is_decided(RECHECK_SECONDS):
             # Room also appears without anybody leaving here: by a newer report.
-            self.look()
+            self.recheck()
         if ticket.refusal is not None:
             raise ticket.refusal
         return ticket
 
-    def watch(self, ticket: Ticket, events: Iterator[StreamEvent]) -> Iterator[StreamEvent]:
+    def leave_after(self, ticket: Ticket, events: Iterator[StreamEvent]) -> Iterator[StreamEvent]:
         """Yield ``events`` and end the request with them; the first has arrived already."""
         first_at = self._clock()
         try:
@@ -105,7 +105,7 @@
             self.leave(ticket)
 
     def offer(self, arrival: Arrival) -> Ticket:
-        """Return a ticket that is admitted, refused or waits for `look` and `leave`."""
+        """Return a ticket that is admitted, refused or waits for `recheck` and `leave`."""
         ticket = Ticket(arrival)
         with self._lock:
             # Room may have appeared unseen: those who wait go before the newcomer.
@@ -119,7 +119,7 @@
             self._running[ticket.arrival.unit] -= 1
             self._admit_waiting()
 
-    def look(self) -> None:
+    def recheck(self) -> None:
         """Admit who has got room, and refuse who can no longer be in time."""
         with self._lock:
             self._admit_waiting()
@@ -151,7 +151,7 @@
         now = self._clock()
         self._queue.admit(place)
         self._running[place.ticket.arrival.unit] += 1
-        self._on_their_way.append(place.ticket)
+        self._dispatching.append(place.ticket)
         place.ticket.admit(now)
 
     def _admit_waiting(self) -> None:
@@ -201,14 +201,14 @@
         if self._running.total() >= self._limits.running:
             return False
         room = self._capacity.room(arrival.unit) if arrival.unit else None
-        return room is None or room.free - self._count_on_their_way(arrival.unit) >= 1
+        return room is None or room.free - self._count_dispatching(arrival.unit) >= 1
 
-    def _count_on_their_way(self, unit: str) -> int:
-        horizon = self._clock() - ON_ITS_WAY_SECONDS
-        self._on_their_way = [
-            t for t in self._on_their_way if t.admitted_at is not None and t.admitted_at > horizon
+    def _count_dispatching(self, unit: str) -> int:
+        horizon = self._clock() - DISPATCH_SECONDS
+        self._dispatching = [
+            t for t in self._dispatching if t.admitted_at is not None and t.admitted_at > horizon
         ]
-        return sum(t.arrival.unit == unit for t in self._on_their_way)
+        return sum(t.arrival.unit == unit for t in self._dispatching)
 
     def _wait_seconds(self, place: Place) -> float:
         """Return how long the ticket of ``place`` would wait for its turn."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/entry/callers_app.py
@@ -176,7 +176,7 @@
         except BaseException:
             self._gate.leave(ticket)
             raise
-        return self._gate.watch(ticket, events)
+        return self._gate.leave_after(ticket, events)
 
     def _run_once(
         self, request: GenerationRequest, raw: bytes, span: Span
@@ -228,7 +228,7 @@
             deadline_at=control.deadline_at,
         )
         arrival = Arrival(caller.name, caller.share, service.priority, "", 1, request.deadline_at)
-        with self._gate.hold(arrival):
+        with self._gate.admitted(arrival):
             response = self._plain.run(request, span)
         cherrypy.response.status = response.status
         cherrypy.response.headers["Content-Type"] = response.content_type
--- a/packages/redwingscale-daemon/tests/unit/test_admission.py
+++ b/packages/redwingscale-daemon/tests/unit/test_admission.py
@@ -95,7 +95,7 @@
 
     def _first_token(self, ticket):
         tokens = [TokenEvent(n, "t") for n in range(TOKENS)]
-        stream = self._gate.watch(ticket, iter([*tokens, EndEvent(TOKENS)]))
+        stream = self._gate.leave_after(ticket, iter([*tokens, EndEvent(TOKENS)]))
         next(stream)
         self._at(self.now + SERVICE_SECONDS - FIRST, self._end, ticket, stream)
 
@@ -175,7 +175,7 @@
 def test_request_that_holds_on_keeps_its_room_until_its_stream_ends():
     gate = Gate(GateLimits(1, 1), Model(0, []))
     ticket = gate.enter(Arrival("clerks", 1, 5, "", 1, float("inf")))
-    stream = gate.watch(ticket, iter([TokenEvent(0, "t"), EndEvent(1)]))
+    stream = gate.leave_after(ticket, iter([TokenEvent(0, "t"), EndEvent(1)]))
     next(stream)
     second = gate.offer(Arrival("clerks", 1, 5, "", 1, float("inf")))
     assert not second.is_decided()
