--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/capacity.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/capacity.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.upstreams.directory import Directory, EngineView
 from redwingscale_daemon._internal.upstreams.in_flight import InFlight
 
-MOST_SAMPLES = 64
+MAX_SAMPLES = 64
 SAMPLES_IN_LAG = 20
 
 
@@ -77,7 +77,7 @@
 
     def _in_flight_at(self, view: EngineView, here: int) -> int:
         """Return how many ran here when the newest report of the engine was true."""
-        samples = self._samples_by_engine.setdefault(view.member.id, deque(maxlen=MOST_SAMPLES))
+        samples = self._samples_by_engine.setdefault(view.member.id, deque(maxlen=MAX_SAMPLES))
         now = self._clock()
         if not samples or now - samples[-1].taken_at >= self._lag_seconds / SAMPLES_IN_LAG:
             samples.append(_Sample(now, here))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
@@ -19,13 +19,13 @@
 # An admitted request counts at its engine from its attempt on; until then it is
 # held against the room, for this long at most.
 DISPATCH_SECONDS = 0.02
-LEAST_RETRY_AFTER_SECONDS = 0.5
+MIN_RETRY_AFTER_SECONDS = 0.5
 # A newcomer's estimated wait may take this part of the time that it has to spare.
 # With all of it the queue stays as long as can just be in time, and half of those
 # who wait are refused late, after all.
-WAIT_PART = 0.6
-RESERVED_PART = 10
-QUEUE_PART = 5
+WAIT_FRACTION = 0.6
+RESERVED_DIVISOR = 10
+QUEUE_DIVISOR = 5
 
 
 class GateLimits(NamedTuple):
@@ -37,8 +37,8 @@
 
 def gate_limits(threads: int) -> GateLimits:
     """Split the request threads; what is left over answers refusals and probes."""
-    waiting = max(1, threads // QUEUE_PART)
-    reserved = max(2, threads // RESERVED_PART)
+    waiting = max(1, threads // QUEUE_DIVISOR)
+    reserved = max(2, threads // RESERVED_DIVISOR)
     return GateLimits(max(1, threads - waiting - reserved), waiting)
 
 
@@ -177,14 +177,14 @@
                 429,
                 "overloaded",
                 "more requests wait than fit, and this caller is the furthest above its share",
-                retry_after_seconds=max(LEAST_RETRY_AFTER_SECONDS, self._wait_seconds(last)),
+                retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, self._wait_seconds(last)),
             )
         )
 
     def _refuse_if_late(self, ticket: Ticket, wait_seconds: float) -> None:
         arrival = ticket.arrival
         expected = self._rates.expected_seconds(arrival.unit, arrival.max_tokens)
-        wait_needed = wait_seconds / WAIT_PART
+        wait_needed = wait_seconds / WAIT_FRACTION
         late = self._clock() + wait_needed + expected - arrival.deadline_at
         if late <= 0:
             return
@@ -193,7 +193,7 @@
                 503,
                 "deadline_unreachable",
                 f"it could take {wait_needed + expected:.2f} s, {late:.2f} s too long",
-                retry_after_seconds=max(LEAST_RETRY_AFTER_SECONDS, min(late, wait_needed)),
+                retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, min(late, wait_needed)),
             )
         )
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/freshness.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/freshness.py
@@ -5,7 +5,7 @@
 from redwingscale_daemon._internal.upstreams.directory import EngineView
 
 STALE_SECONDS = 30.0
-RENEW_SECONDS = 1.0
+REFRESH_SECONDS = 1.0
 
 
 class Freshness:
@@ -22,14 +22,14 @@
         self._engines = engines
         self._clock = clock
         self._newest_by_domain: dict[str, float] = {}
-        self._renew_at = float("-inf")
+        self._refresh_at = float("-inf")
 
     def is_stale(self, view: EngineView) -> bool:
         """Return whether ``view`` must not be used."""
         now = self._clock()
-        if now >= self._renew_at:
+        if now >= self._refresh_at:
             # All engines are looked at once a second, not for each request.
-            self._renew_at = now + RENEW_SECONDS
+            self._refresh_at = now + REFRESH_SECONDS
             self._newest_by_domain = self._newest()
         newest = self._newest_by_domain.get(view.member.failure_domain, view.received_at)
         return newest - view.received_at > STALE_SECONDS
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/load_estimate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/load_estimate.py
@@ -6,8 +6,8 @@
 from redwingscale_daemon._internal.upstreams.directory import EngineView
 from redwingscale_daemon._internal.upstreams.in_flight import InFlight
 
-MOST_INSTANCES = 64.0
-WEIGHT = 0.02
+MAX_FACTOR = 64.0
+SAMPLE_WEIGHT = 0.02
 
 
 class LoadEstimate:
@@ -22,7 +22,7 @@
     def __init__(self, in_flight: InFlight) -> None:
         self._lock = threading.Lock()
         self._in_flight = in_flight
-        self._at_report: dict[str, tuple[float, int]] = {}
+        self._in_flight_at_report: dict[str, tuple[float, int]] = {}
         self._factor = 1.0
 
     def loads(self, views: Iterable[EngineView]) -> dict[str, float]:
@@ -35,16 +35,16 @@
         if (digest := view.digest) is None:
             return float(here)
         reported = digest.running + digest.waiting
-        received_at, before = self._at_report.get(view.member.id, (0.0, 0))
+        received_at, before = self._in_flight_at_report.get(view.member.id, (0.0, 0))
         if received_at != view.received_at:
             before = here
-            self._at_report[view.member.id] = (view.received_at, here)
-            self._learn_factor(reported, here)
+            self._in_flight_at_report[view.member.id] = (view.received_at, here)
+            self._update_factor(reported, here)
         expected = reported + self._factor * (here - before)
         return max(here, expected) / max(1, digest.slots)
 
-    def _learn_factor(self, reported: int, here: int) -> None:
+    def _update_factor(self, reported: int, here: int) -> None:
         """Learn how many times this instance's own work the engines have."""
         if here:
-            seen = min(max(reported / here, 1.0), MOST_INSTANCES)
-            self._factor += WEIGHT * (seen - self._factor)
+            seen = min(max(reported / here, 1.0), MAX_FACTOR)
+            self._factor += SAMPLE_WEIGHT * (seen - self._factor)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/prefix.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/prefix.py
@@ -3,16 +3,16 @@
 import hashlib
 
 BLOCK_CHARACTERS = 64
-MOST_BLOCKS = 64
+MAX_BLOCKS = 64
 DIGEST_BYTES = 8
 
 
 def block_digests(unit: str, prompt: str) -> list[str]:
     """Return the chained digest of each whole block, the longest prefix last.
 
-    Blocks beyond `MOST_BLOCKS` are left out: a prefix this long already decides.
+    Blocks beyond `MAX_BLOCKS` are left out: a prefix this long already decides.
     """
-    end = min(len(prompt) - BLOCK_CHARACTERS + 1, MOST_BLOCKS * BLOCK_CHARACTERS)
+    end = min(len(prompt) - BLOCK_CHARACTERS + 1, MAX_BLOCKS * BLOCK_CHARACTERS)
     digests = []
     chain = unit.encode()
     for start in range(0, end, BLOCK_CHARACTERS):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/prefix_index.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/prefix_index.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 CAPACITY_BLOCKS = 32_768
-MOST_ENGINES = 8
+MAX_ENGINES_PER_BLOCK = 8
 """Engines remembered for one block; a prefix that all share needs no more."""
 
 
@@ -45,7 +45,7 @@
                 engines = self._seen_at_by_engine.setdefault(digest, {})
                 engines.pop(engine, None)
                 engines[engine] = now
-                if len(engines) > MOST_ENGINES:
+                if len(engines) > MAX_ENGINES_PER_BLOCK:
                     engines.pop(next(iter(engines)))
                 self._seen_at_by_engine.move_to_end(digest)
             while len(self._seen_at_by_engine) > self._capacity:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_control.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_control.py
@@ -22,8 +22,8 @@
 from redwingscale_daemon._internal.upstreams.report_check import check_report
 
 CONTROL_TIMEOUT_SECONDS = 2.0
-REPORT_LIMIT_BYTES = 4 << 20
-READ_BYTES = 64 << 10
+MAX_BODY_BYTES = 4 << 20
+READ_CHUNK_BYTES = 64 << 10
 REFUSED_STATUSES = range(300, 500)
 UNAVAILABLE_STATUS = 503
 
@@ -117,10 +117,10 @@
     body that drips in would hold its owner's thread for good.
     """
     body = bytearray()
-    while chunk := response.read1(READ_BYTES, decode_content=False):
+    while chunk := response.read1(READ_CHUNK_BYTES, decode_content=False):
         body += chunk
-        if len(body) > REPORT_LIMIT_BYTES:
-            raise ReportInvalid(f"more than {REPORT_LIMIT_BYTES} bytes")
+        if len(body) > MAX_BODY_BYTES:
+            raise ReportInvalid(f"more than {MAX_BODY_BYTES} bytes")
         if time.monotonic() > deadline:
             raise ReportInvalid(f"incomplete after {CONTROL_TIMEOUT_SECONDS} s")
     return bytes(body)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_client.py
@@ -13,7 +13,7 @@
 RETRY_AFTER = "Retry-After"
 SERVICE_UNAVAILABLE = 503
 BODILESS_STATUSES = frozenset({204, 304})
-LEAST_READ_SECONDS = 0.01
+MIN_READ_SECONDS = 0.01
 
 
 class PlainCall(NamedTuple):
@@ -60,7 +60,7 @@
         timeout_seconds: float,
     ) -> urllib3.BaseHTTPResponse:
         headers = call.headers | {ATTEMPT_HEADER: call.attempt_id, "Connection": "close"}
-        read_seconds = max(LEAST_READ_SECONDS, timeout_seconds)
+        read_seconds = max(MIN_READ_SECONDS, timeout_seconds)
         try:
             return pool.request(
                 call.method,
@@ -84,7 +84,7 @@
         answered = response.headers.get(ATTEMPT_HEADER, call.attempt_id)
         if answered != call.attempt_id:
             raise UpstreamError(member.id, "an answer to another attempt", run=RunState.UNKNOWN)
-        if not _has_end(call.method, response):
+        if not _shows_truncation(call.method, response):
             raise UpstreamError(member.id, "an answer without its length", run=RunState.UNKNOWN)
         # A bare 503 may come from any stage of the service's work. Only one that
         # asks for the call again says that it did not act on this one.
@@ -92,7 +92,7 @@
             raise UpstreamError(member.id, "refused, not run", run=RunState.NOT_RUN)
 
 
-def _has_end(method: str, response: urllib3.BaseHTTPResponse) -> bool:
+def _shows_truncation(method: str, response: urllib3.BaseHTTPResponse) -> bool:
     """Return whether a cut of this answer would have shown."""
     if method == "HEAD" or response.status in BODILESS_STATUSES:
         return True
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/report_check.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/report_check.py
@@ -7,10 +7,10 @@
 from redwingscale_daemon._internal.exceptions import ReportInvalid
 from redwingscale_daemon._internal.models.report import Report
 
-CAPACITY_LIMIT_BYTES = 1 << 50
-RESIDENTS_LIMIT = 4096
-ORDERS_LIMIT = 65_536
-NAME_LIMIT = 512
+MAX_CAPACITY_BYTES = 1 << 50
+MAX_RESIDENTS = 4096
+MAX_ORDERS = 65_536
+MAX_NAME_CHARACTERS = 512
 
 
 def check_report(report: Report) -> None:
@@ -29,7 +29,7 @@
 
 
 def _capacity_findings(report: Report) -> Iterator[str]:
-    if not 0 < report.capacity_bytes <= CAPACITY_LIMIT_BYTES:
+    if not 0 < report.capacity_bytes <= MAX_CAPACITY_BYTES:
         yield f"capacity of {report.capacity_bytes} bytes"
     used = sum(r.size_bytes for r in report.residents)
     if used > report.capacity_bytes:
@@ -37,16 +37,16 @@
 
 
 def _resident_findings(report: Report) -> Iterator[str]:
-    if len(report.residents) > RESIDENTS_LIMIT:
+    if len(report.residents) > MAX_RESIDENTS:
         yield f"{len(report.residents)} residents"
         return
     if len({r.unit for r in report.residents}) < len(report.residents):
         yield "a unit stands twice"
     for resident in report.residents:
         if resident.size_bytes < 0:
-            yield f"{resident.unit[:NAME_LIMIT]!r} has {resident.size_bytes} bytes"
+            yield f"{resident.unit[:MAX_NAME_CHARACTERS]!r} has {resident.size_bytes} bytes"
         if not _is_unit(resident.unit):
-            yield f"{resident.unit[:NAME_LIMIT]!r} is no unit"
+            yield f"{resident.unit[:MAX_NAME_CHARACTERS]!r} is no unit"
 
 
 def _load_findings(report: Report) -> Iterator[str]:
@@ -56,7 +56,7 @@
         yield f"{report.slots} slots"
     if report.fence < 0:
         yield f"fence {report.fence}"
-    if len(report.orders) > ORDERS_LIMIT:
+    if len(report.orders) > MAX_ORDERS:
         yield f"{len(report.orders)} orders"
 
 
@@ -65,4 +65,4 @@
         Unit.parse(text)
     except ValueError:
         return False
-    return len(text) <= NAME_LIMIT
+    return len(text) <= MAX_NAME_CHARACTERS
