--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/capacity.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/capacity.py
@@ -59,21 +59,21 @@
         engines = near or candidates
         if not engines or any(v.digest is None for v in engines):
             return None
-        parts = self._instances(near_only=bool(near))
-        rooms = [self._engine_room(view, parts) for view in engines]
+        instances = self._count_instances(near_only=bool(near))
+        rooms = [self._engine_room(view, instances) for view in engines]
         return Room(sum(r.free for r in rooms), sum(r.slots for r in rooms))
 
-    def _engine_room(self, view: EngineView, parts: int) -> Room:
+    def _engine_room(self, view: EngineView, instances: int) -> Room:
         digest = view.digest
         assert digest is not None
         here = self._in_flight.count(view.member.id)
         reported = digest.running + digest.waiting
         load = max(here, reported + here - self._in_flight_at(view, here))
-        even_part = digest.slots / parts
+        equal_share = digest.slots / instances
         # All instances see the same report: if each took all that is free in it,
         # they would overrun the engine together.
-        part_of_free = (digest.slots - load) / parts
-        return Room(max(0.0, part_of_free, even_part - here), max(even_part, here))
+        share_of_free = (digest.slots - load) / instances
+        return Room(max(0.0, share_of_free, equal_share - here), max(equal_share, here))
 
     def _in_flight_at(self, view: EngineView, here: int) -> int:
         """Return how many ran here when the newest report of the engine was true."""
@@ -81,13 +81,13 @@
         now = self._clock()
         if not samples or now - samples[-1].taken_at >= self._lag_seconds / SAMPLES_IN_LAG:
             samples.append(_Sample(now, here))
-        true_at = view.received_at - self._lag_seconds
-        older = list(itertools.takewhile(lambda s: s.taken_at <= true_at, samples))
-        while len(samples) > 1 and samples[1].taken_at <= true_at:
+        sampled_at = view.received_at - self._lag_seconds
+        older = list(itertools.takewhile(lambda s: s.taken_at <= sampled_at, samples))
+        while len(samples) > 1 and samples[1].taken_at <= sampled_at:
             samples.popleft()
         return older[-1].in_flight if older else samples[0].in_flight
 
-    def _instances(self, *, near_only: bool) -> int:
+    def _count_instances(self, *, near_only: bool) -> int:
         domain = self._instance.failure_domain
         live = [m for m in self._members.instances() if not m.leaving]
         return max(1, sum(not near_only or m.failure_domain == domain for m in live))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
@@ -142,7 +142,7 @@
             if ticket.refusal is None:
                 self._admit(place)
             return
-        self._refuse_if_late(ticket, self._wait_seconds(place))
+        self._refuse_if_late(ticket, self._expected_wait_seconds(place))
         if ticket.refusal is None:
             self._queue.add(place)
             self._shed()
@@ -177,7 +177,7 @@
                 429,
                 "overloaded",
                 "more requests wait than fit, and this caller is the furthest above its share",
-                retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, self._wait_seconds(last)),
+                retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, self._expected_wait_seconds(last)),
             )
         )
 
@@ -210,7 +210,7 @@
         ]
         return sum(t.arrival.unit == unit for t in self._dispatching)
 
-    def _wait_seconds(self, place: Place) -> float:
+    def _expected_wait_seconds(self, place: Place) -> float:
         """Return how long the ticket of ``place`` would wait for its turn."""
         arrival = place.ticket.arrival
         expected = self._rates.expected_seconds(arrival.unit, arrival.max_tokens)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/prefix_index.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/prefix_index.py
@@ -31,7 +31,7 @@
         with self._lock:
             for count, digest in enumerate(digests, start=1):
                 engines = self._seen_at_by_engine.get(digest, {})
-                longer = [e for e, at in engines.items() if self._holds(e, at)]
+                longer = [e for e, at in engines.items() if self._is_current(e, at)]
                 longer = [e for e in longer if found.get(e, 0) == count - 1]
                 if not longer:
                     break
@@ -63,5 +63,5 @@
         with self._lock:
             self._forgotten_at[engine] = before
 
-    def _holds(self, engine: str, at: float) -> bool:
+    def _is_current(self, engine: str, at: float) -> bool:
         return at >= self._forgotten_at.get(engine, 0.0)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/router.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/router.py
@@ -117,9 +117,9 @@
         ]
         if not candidates:
             return None
-        return self._by_policy(candidates, unit, prompt)
+        return self._choose_by_policy(candidates, unit, prompt)
 
-    def _by_policy(self, candidates: list[EngineView], unit: str, prompt: str) -> EngineView:
+    def _choose_by_policy(self, candidates: list[EngineView], unit: str, prompt: str) -> EngineView:
         match self._policy:
             case RoundRobin():
                 return candidates[next(self._turns) % len(candidates)]
@@ -128,18 +128,20 @@
             case LeastInFlight():
                 return min(candidates, key=lambda v: self._in_flight.count(v.member.id))
             case PrefixAffinity() as policy:
-                return self._by_affinity(policy, candidates, block_digests(unit, prompt))
+                return self._choose_by_affinity(policy, candidates, block_digests(unit, prompt))
             case _:
                 assert_never(self._policy)
 
-    def _by_affinity(
+    def _choose_by_affinity(
         self, policy: PrefixAffinity, candidates: list[EngineView], digests: Sequence[str]
     ) -> EngineView:
         loads = self._load.loads(candidates)
-        pool = self._near(policy, candidates, loads)
+        pool = self._prefer_nearby(policy, candidates, loads)
         least = min(loads[v.member.id] for v in pool)
-        idle = [v for v in pool if loads[v.member.id] <= least + policy.affinity_slack]
-        best = _longest(idle, self._index.matches(digests)) or _homes(idle, pool, digests)
+        lightly_loaded = [v for v in pool if loads[v.member.id] <= least + policy.affinity_slack]
+        best = _with_longest_prefix(lightly_loaded, self._index.matches(digests)) or _home_engines(
+            lightly_loaded, pool, digests
+        )
         if not best:
             best = [v for v in pool if loads[v.member.id] <= least + policy.best_slack]
         two = self._rng.sample(best, min(CHOICES, len(best)))
@@ -147,7 +149,7 @@
         self._index.add(view.member.id, digests, self._clock())
         return view
 
-    def _near(
+    def _prefer_nearby(
         self, policy: PrefixAffinity, candidates: list[EngineView], loads: dict[str, float]
     ) -> list[EngineView]:
         """Return the own failure domain's engines, all when those are much busier."""
@@ -156,14 +158,16 @@
         return near if near and min(loads[v.member.id] for v in near) <= most else candidates
 
 
-def _longest(idle: list[EngineView], blocks: dict[str, int]) -> list[EngineView]:
+def _with_longest_prefix(
+    lightly_loaded: list[EngineView], blocks: dict[str, int]
+) -> list[EngineView]:
     """Return the engines that have the most of the prefix."""
-    longest = max((blocks.get(v.member.id, 0) for v in idle), default=0)
-    return [v for v in idle if longest and blocks.get(v.member.id, 0) == longest]
+    longest = max((blocks.get(v.member.id, 0) for v in lightly_loaded), default=0)
+    return [v for v in lightly_loaded if longest and blocks.get(v.member.id, 0) == longest]
 
 
-def _homes(
-    idle: list[EngineView], pool: list[EngineView], digests: Sequence[str]
+def _home_engines(
+    lightly_loaded: list[EngineView], pool: list[EngineView], digests: Sequence[str]
 ) -> list[EngineView]:
     """Return where a prefix that this instance has not seen yet belongs.
 
@@ -173,4 +177,4 @@
     if not digests:
         return []
     homes = rendezvous_order(digests[0], (v.member.id for v in pool))[:CHOICES]
-    return [v for v in idle if v.member.id in homes]
+    return [v for v in lightly_loaded if v.member.id in homes]
