--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
@@ -23,7 +23,7 @@
 from redwingscale_daemon._internal.routing.cache_feed import CacheFeed
 from redwingscale_daemon._internal.routing.cache_poller import CachePoller
 from redwingscale_daemon._internal.routing.prefix_index import PrefixIndex
-from redwingscale_daemon._internal.routing.router import Demand, Router
+from redwingscale_daemon._internal.routing.router import ModelHooks, Router
 from redwingscale_daemon._internal.settings.settings import Settings
 from redwingscale_daemon._internal.store.store import Platform
 from redwingscale_daemon._internal.telemetry.metrics import Metrics
@@ -80,7 +80,7 @@
         in_flight,
         random.Random(),
         index=index,
-        demand=Demand(lambda model: _listed_versions(current, model), demand.arrived),
+        hooks=ModelHooks(lambda model: _listed_versions(current, model), demand.arrived),
     )
     cache_poller = CachePoller(
         members, lambda e: ownership.grant_of(e) is not None, engine_control, CacheFeed(index)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/router.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/router.py
@@ -29,14 +29,14 @@
 CHOICES = 2
 
 
-class Demand(NamedTuple):
+class ModelHooks(NamedTuple):
     """What routing needs of the deployment's text, and whom it tells of arrivals."""
 
     listed_versions: Callable[[str], Iterable[str]]
-    arrived: Callable[[str], None]
+    note_arrival: Callable[[str], None]
 
 
-NO_DEMAND = Demand(lambda model: (), lambda model: None)
+NO_HOOKS = ModelHooks(lambda model: (), lambda model: None)
 
 
 class Router:
@@ -56,7 +56,7 @@
         *,
         policy: RoutingPolicy | None = None,
         index: PrefixIndex | None = None,
-        demand: Demand = NO_DEMAND,
+        hooks: ModelHooks = NO_HOOKS,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._failure_domain = failure_domain
@@ -66,7 +66,7 @@
         self._rng = rng
         self._policy = policy or PrefixAffinity()
         self._index = index or PrefixIndex()
-        self._demand = demand
+        self._hooks = hooks
         self._clock = clock
         self._load = LoadEstimate(in_flight)
         self._freshness = Freshness(directory.engines, clock)
@@ -79,7 +79,7 @@
         version of the model that is ready answers in its place, so a change of
         versions leaves no caller without an answer.
         """
-        others = (v for v in self._demand.listed_versions(unit.model) if v != unit.version)
+        others = (v for v in self._hooks.listed_versions(unit.model) if v != unit.version)
         for version in (unit.version, *others):
             candidate = unit._replace(version=version)
             view = self._choose(str(candidate), prompt, excluded)
@@ -89,7 +89,7 @@
 
     def note_arrival(self, model: str) -> None:
         """Count a request for ``model``, also one that will be refused: it is demand."""
-        self._demand.arrived(model)
+        self._hooks.note_arrival(model)
 
     def choose_engine(self, unit: str, excluded: Collection[str]) -> EngineView | None:
         """Return an engine where exactly ``unit`` is ready, None when there is none."""
--- a/packages/redwingscale-daemon/tests/unit/routing/test_router.py
+++ b/packages/redwingscale-daemon/tests/unit/routing/test_router.py
@@ -13,7 +13,7 @@
 )
 from redwingscale_daemon._internal.routing.prefix import block_digests
 from redwingscale_daemon._internal.routing.prefix_index import PrefixIndex
-from redwingscale_daemon._internal.routing.router import Demand
+from redwingscale_daemon._internal.routing.router import ModelHooks
 from redwingscale_daemon._internal.upstreams.in_flight import InFlight
 from redwingscale_standins.engine.cache import prefix_digests
 
@@ -62,7 +62,7 @@
     The route names v1, since the engine would refuse an attempt at v2.
     """
     engines.add("e0", "a", str(V1))
-    router = make_router(demand=Demand(lambda model: ["v2", "v1"], lambda model: None))
+    router = make_router(hooks=ModelHooks(lambda model: ["v2", "v1"], lambda model: None))
 
     before = router.route(V2._replace(adapter=""), "")
     engines.report("e0", str(V1), str(V2))
@@ -73,7 +73,7 @@
 
 def test_a_version_that_is_no_longer_listed_does_not_answer(engines, make_router):
     engines.add("e0", "a", str(V1))
-    router = make_router(demand=Demand(lambda model: ["v2"], lambda model: None))
+    router = make_router(hooks=ModelHooks(lambda model: ["v2"], lambda model: None))
 
     assert router.route(V2, "") is None
 
