--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.admission.arrival import Arrival
 from redwingscale_daemon._internal.admission.capacity import Room
 from redwingscale_daemon._internal.admission.fair_queue import FairQueue, Place
-from redwingscale_daemon._internal.admission.service_rates import Served, ServiceRates
+from redwingscale_daemon._internal.admission.service_rates import Completion, ServiceRates
 from redwingscale_daemon._internal.admission.ticket import Ticket
 from redwingscale_daemon._internal.exceptions import Refusal
 from redwingscale_daemon._internal.models.generation import EndEvent, StreamEvent
@@ -126,14 +126,14 @@
 
     def _record(self, ticket: Ticket, tokens: int, first_at: float) -> None:
         assert ticket.admitted_at is not None
-        served = Served(
+        completion = Completion(
             max_tokens=ticket.arrival.max_tokens,
             tokens=tokens,
-            first_token=first_at - ticket.admitted_at,
-            total=self._clock() - ticket.admitted_at,
+            first_token_seconds=first_at - ticket.admitted_at,
+            total_seconds=self._clock() - ticket.admitted_at,
         )
         with self._lock:
-            self._rates.record(ticket.arrival.unit, served)
+            self._rates.record(ticket.arrival.unit, completion)
 
     def _decide(self, ticket: Ticket) -> None:
         place = self._queue.place(ticket)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/service_rates.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/service_rates.py
@@ -2,24 +2,24 @@
 
 from typing import NamedTuple
 
-WEIGHT_OF_NEWEST = 0.2
+NEWEST_WEIGHT = 0.2
 
 
-class Served(NamedTuple):
+class Completion(NamedTuple):
     """An answer that has ended; times in seconds."""
 
     max_tokens: int
     tokens: int
-    first_token: float
-    total: float
+    first_token_seconds: float
+    total_seconds: float
 
 
 class Rate(NamedTuple):
-    """Moving averages: time to the first token, gap, and used part of ``max_tokens``."""
+    """Moving averages: time to the first token, gap_seconds, and used_fraction part of ``max_tokens``."""
 
-    first_token: float
-    gap: float
-    used: float
+    first_token_seconds: float
+    gap_seconds: float
+    used_fraction: float
 
 
 class ServiceRates:
@@ -28,16 +28,17 @@
     def __init__(self) -> None:
         self._rates_by_unit: dict[str, Rate] = {}
 
-    def record(self, unit: str, served: Served) -> None:
+    def record(self, unit: str, completion: Completion) -> None:
         """Take a whole answer into the averages."""
         newest = Rate(
-            first_token=served.first_token,
-            gap=(served.total - served.first_token) / max(1, served.tokens - 1),
-            used=served.tokens / served.max_tokens,
+            first_token_seconds=completion.first_token_seconds,
+            gap_seconds=(completion.total_seconds - completion.first_token_seconds)
+            / max(1, completion.tokens - 1),
+            used_fraction=completion.tokens / completion.max_tokens,
         )
-        known = self._rates_by_unit.get(unit, newest)
+        average = self._rates_by_unit.get(unit, newest)
         self._rates_by_unit[unit] = Rate(
-            *(_blend(a, b) for a, b in zip(known, newest, strict=True))
+            *(_blend(a, b) for a, b in zip(average, newest, strict=True))
         )
 
     def expected_seconds(self, unit: str, max_tokens: int) -> float:
@@ -45,8 +46,8 @@
         rate = self._rates_by_unit.get(unit)
         if rate is None:
             return 0.0
-        return rate.first_token + rate.gap * rate.used * max_tokens
+        return rate.first_token_seconds + rate.gap_seconds * rate.used_fraction * max_tokens
 
 
-def _blend(known: float, newest: float) -> float:
-    return known + WEIGHT_OF_NEWEST * (newest - known)
+def _blend(average: float, newest: float) -> float:
+    return average + NEWEST_WEIGHT * (newest - average)
