--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Upstreams: directory, reports, and one module for each vendor dialect."""
+"""Upstreams: directory, clients, reports, and one module for each vendor dialect."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/alder.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/alder.py
@@ -1,4 +1,4 @@
-"""Dialect of vendor alder: nested state in bytes, orders with fencing numbers."""
+"""Dialect of vendor alder: sizes in bytes, orders with fencing numbers."""
 
 from typing import Any, Literal
 
@@ -74,12 +74,12 @@
 
 
 def cancel_call(attempt_id: str) -> Call:
-    """Return the call that ends an attempt's work."""
+    """Return the call that cancels an attempt."""
     return Call("DELETE", f"/v1/generate/{attempt_id}")
 
 
 def parse_event(event: bytes, attempt_id: str) -> StreamEvent | None:
-    """Return the event, or None when it bears another attempt's id."""
+    """Return the event; None if it belongs to another attempt than ``attempt_id``."""
     item = _EVENT_DECODER.decode(event.removeprefix(b"data: "))
     if item.request != attempt_id:
         return None
@@ -87,7 +87,7 @@
 
 
 def parse_report(body: bytes) -> Report:
-    """Return the report in a state answer; raise `ReportInvalid`."""
+    """Return the report in a state response; raise `ReportInvalid`."""
     try:
         state = _STATE_DECODER.decode(body)
     except msgspec.MsgspecError as error:
@@ -118,5 +118,5 @@
 
 
 def fence_call(fence: int) -> Call:
-    """Return the call after which orders below ``fence`` are refused."""
+    """Return the call after which the engine refuses orders below ``fence``."""
     return Call("POST", "/v1/fence", msgspec.json.encode({"fence": fence}))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/birch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/birch.py
@@ -1,4 +1,4 @@
-"""Dialect of vendor birch: flat state in megabytes, tickets without fencing."""
+"""Dialect of vendor birch: sizes in megabytes, orders without fencing numbers."""
 
 from typing import Literal
 
@@ -73,12 +73,12 @@
 
 
 def cancel_call(attempt_id: str) -> Call:
-    """Return the call that ends an attempt's work."""
+    """Return the call that cancels an attempt."""
     return Call("POST", "/generate/cancel", msgspec.json.encode({"id": attempt_id}))
 
 
 def parse_event(event: bytes, attempt_id: str) -> StreamEvent | None:
-    """Return the event, or None when it bears another attempt's id."""
+    """Return the event; None if it belongs to another attempt than ``attempt_id``."""
     if event.startswith(_TOKEN_PREFIX):
         token = _TOKEN_DECODER.decode(event[len(_TOKEN_PREFIX) :])
         return TokenEvent(token.seq, token.piece) if token.id == attempt_id else None
@@ -87,7 +87,7 @@
 
 
 def parse_report(body: bytes) -> Report:
-    """Return the report in an info answer; raise `ReportInvalid`."""
+    """Return the report in a state response; raise `ReportInvalid`."""
     try:
         info = _INFO_DECODER.decode(body)
     except msgspec.MsgspecError as error:
@@ -104,7 +104,7 @@
 
 
 def order_call(order: Order) -> Call:
-    """Return the call that sends ``order``; this vendor has no fencing."""
+    """Return the call that sends ``order``, without its fencing number."""
     body = {
         "ticket": order.order_id,
         "op": "add" if order.load else "drop",
@@ -116,7 +116,7 @@
 
 def _bytes(megabytes: float) -> int:
     try:
-        # Rounded: cut off, 0.57 MB would come out a byte smaller than what was ordered.
+        # Rounded: truncation would make 0.57 MB one byte less than the ordered size.
         return round(megabytes * MEGABYTE)
     except (ValueError, OverflowError):
-        raise ReportInvalid(f"{megabytes} megabytes") from None
+        raise ReportInvalid(f"size of {megabytes} megabytes") from None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/cache_events.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/cache_events.py
@@ -1,4 +1,4 @@
-"""Cache events in the vendors' dialects."""
+"""Encodes polls for cache events and decodes them, for each vendor."""
 
 from typing import assert_never
 
@@ -22,7 +22,7 @@
 
 
 def cache_events_call(dialect: Dialect, since: int) -> Call:
-    """Return the call that polls the events after number ``since``."""
+    """Return the call that polls the events after sequence number ``since``."""
     match dialect:
         case Alder():
             return Call("GET", f"/v1/cache-events?since={since}")
@@ -33,7 +33,7 @@
 
 
 def parse_cache_events(dialect: Dialect, body: bytes) -> list[CacheEvent]:
-    """Return the events in an answer; raise `ReportInvalid`."""
+    """Return the events in a response; raise `ReportInvalid`."""
     try:
         match dialect:
             case Alder():
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/call.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/call.py
@@ -4,7 +4,7 @@
 
 
 class Call(NamedTuple):
-    """Method, path with query, and body of a call."""
+    """A call; ``path`` includes the query."""
 
     method: str
     path: str
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/dialect.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/dialect.py
@@ -1,4 +1,4 @@
-"""The dialects: one data class for each vendor, one function for each call."""
+"""Selects the vendor's module: one data class per vendor, one function per operation."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,17 +13,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Alder:
-    """Vendor alder."""
+    """Dialect of vendor alder."""
 
 
 @dataclass(frozen=True, slots=True)
 class Birch:
-    """Vendor birch."""
+    """Dialect of vendor birch."""
 
 
 Dialect = Alder | Birch
 
-# Takes an event and the attempt's id; None when the event bears another's.
+# Decodes an event of the attempt with this id; None if it belongs to another attempt.
 EventParser = Callable[[bytes, str], StreamEvent | None]
 
 DIALECTS_BY_VENDOR: dict[str, Dialect] = {"alder": Alder(), "birch": Birch()}
@@ -52,7 +52,7 @@
 
 
 def cancel_call(dialect: Dialect, attempt_id: str) -> Call:
-    """Return the call that ends an attempt's work."""
+    """Return the call that cancels an attempt."""
     match dialect:
         case Alder():
             return alder.cancel_call(attempt_id)
@@ -63,9 +63,9 @@
 
 
 def event_parser(dialect: Dialect) -> EventParser:
-    """Return the function that types an event; see `EventParser`.
+    """Return the function that decodes an event.
 
-    It is looked up once a stream: the parser runs for each token.
+    Look it up once per stream: the function runs for each token.
     """
     match dialect:
         case Alder():
@@ -88,7 +88,7 @@
 
 
 def parse_report(dialect: Dialect, body: bytes) -> Report:
-    """Return the report in a state answer; raise `ReportInvalid`."""
+    """Return the report in a state response; raise `ReportInvalid`."""
     match dialect:
         case Alder():
             return alder.parse_report(body)
@@ -110,7 +110,7 @@
 
 
 def fence_call(dialect: Dialect, fence: int) -> Call | None:
-    """Return the call that raises the fence; None where the vendor has none."""
+    """Return the call that raises the fence; None if the vendor has no fencing."""
     match dialect:
         case Alder():
             return alder.fence_call(fence)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/directory.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/directory.py
@@ -1,4 +1,4 @@
-"""What this instance knows of every upstream, for routing."""
+"""The engines of the deployment with their latest reported state."""
 
 import threading
 import time
@@ -15,7 +15,10 @@
 
 
 class EngineView(NamedTuple):
-    """An engine with its newest digest; ``received_at`` is on the monotonic clock."""
+    """An engine with its newest digest.
+
+    ``received_at`` is the monotonic time when the digest arrived, 0.0 without a digest.
+    """
 
     member: EngineMember
     digest: Digest | None
@@ -23,15 +26,15 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the list or the engine itself said that it leaves."""
+        """Whether the list or the engine itself reports that it is leaving."""
         return self.member.leaving or (self.digest is not None and self.digest.leaving)
 
     def is_ready(self, unit: str) -> bool:
-        """Return whether ``unit`` is resident and new requests may go to it."""
+        """Return whether ``unit`` accepts new requests."""
         return unit in self.ready_units()
 
     def ready_units(self) -> list[str]:
-        """Return the units that new requests may go to."""
+        """Return the resident units that accept new requests."""
         digest = self.digest
         if digest is None or digest.set_aside:
             return []
@@ -39,8 +42,10 @@
 
 
 class Directory:
-    """Engines by id. Readers take no lock: keys change only with a new list, which
-    makes a new mapping; a digest replaces one value.
+    """The engines by id, and the engines where each unit is ready.
+
+    Readers take no lock: engines are added and removed only by a new list of members,
+    which replaces the mappings; a digest replaces the values of one engine.
     """
 
     def __init__(self, gossip: GossipState) -> None:
@@ -52,7 +57,7 @@
         gossip.subscribe(TOPIC, self._on_entry)
 
     def update_members(self, members: dict[str, Member]) -> None:
-        """Take the engines of a new list."""
+        """Replace the engines by those among ``members``."""
         with self._lock:
             self._members = {m.id: m for m in members.values() if isinstance(m, EngineMember)}
             self._rebuild()
@@ -62,7 +67,7 @@
         return self._engines_by_id
 
     def engines_with(self, unit: str) -> list[EngineView]:
-        """Return the engines where ``unit`` answers requests."""
+        """Return the engines where ``unit`` accepts new requests."""
         engines = self._engines_by_id
         return [engines[key] for key in self._ready_by_unit.get(unit, []) if key in engines]
 
@@ -70,14 +75,14 @@
         digest = msgspec.msgpack.decode(entry.payload, type=Digest)
         with self._lock:
             known = self._digests.get(digest.upstream)
-            # Two owners may publish for a while after a takeover; the higher fence holds.
+            # After a change of owner both may publish for a while; the higher fence wins.
             if known is not None and known[0].fence > digest.fence:
                 return
             self._digests[digest.upstream] = (digest, time.monotonic())
             self._replace(digest.upstream)
 
     def _replace(self, engine: str) -> None:
-        """Take the newest digest of one engine; its cost does not grow with the others."""
+        """Apply the newest digest of one engine, at a cost independent of their number."""
         old = self._engines_by_id.get(engine)
         if old is None:
             return
@@ -90,7 +95,7 @@
             self._ready_by_unit[unit] = sorted([*self._ready_by_unit.get(unit, ()), engine])
 
     def _rebuild(self) -> None:
-        # Sorted, so that operators and tests see one order whatever the list's.
+        # Sorted: operators and tests see the same order whatever the order of the list.
         engines = {key: self._view(self._members[key]) for key in sorted(self._members)}
         ready: dict[str, list[str]] = {}
         for view in engines.values():
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_client.py
@@ -1,4 +1,4 @@
-"""Streams of one engine in its vendor's dialect."""
+"""Starts, resumes and cancels streams of engines in their vendors' dialects."""
 
 import urllib3
 from redwingscale_common.network.client import new_pool, timeout
@@ -27,7 +27,7 @@
 
 
 class EngineClient:
-    """Starts, resumes and ends streams; each call is sent exactly once."""
+    """Sends each call exactly once, without retries."""
 
     def __init__(self, connect_seconds: float) -> None:
         self._pool = new_pool()
@@ -39,15 +39,16 @@
     ) -> EngineStream:
         """Start ``attempt``; its first event may take ``wait_seconds``.
 
-        Raises `UpstreamError`, with ``not_run`` when it certainly did not start,
-        and `StreamBroken` when the connection ended before the answer.
+        Raises `UpstreamError`, with ``not_run`` only if the attempt certainly did not
+        start, `StreamSilent` on a read timeout, and `StreamBroken` if the connection
+        ended before the response.
         """
         call = dialects.start_call(DIALECTS_BY_VENDOR[engine.vendor], attempt)
         response = self._open(engine, call, headers, wait_seconds)
         if response.status == OK:
             return EngineStream(engine, attempt.attempt_id, response)
         response.close()
-        detail = f"start answered with status {response.status}"
+        detail = f"request to start got status {response.status}"
         if response.status in REFUSED_STATUSES:
             raise UpstreamError(engine.id, detail, run=RunState.NOT_RUN)
         raise UpstreamError(engine.id, detail, run=RunState.UNKNOWN)
@@ -60,10 +61,11 @@
         headers: dict[str, str],
         wait_seconds: float,
     ) -> EngineStream:
-        """Open the rest of an attempt from token ``position`` on a new connection.
+        """Stream an attempt again from token ``position``, on a new connection.
 
-        Raises `UpstreamCrashed` when nothing listens there any more,
-        `UpstreamUnreachable`, `AttemptUnknown`, and `StreamBroken` for the rest.
+        Raises `UpstreamCrashed` if the host refuses the connection,
+        `UpstreamUnreachable` if none can be made, `AttemptUnknown` if the engine does
+        not know the attempt, and `StreamBroken` for any other failure.
         """
         call = dialects.resume_call(DIALECTS_BY_VENDOR[engine.vendor], attempt_id, position)
         try:
@@ -76,13 +78,13 @@
         if response.status == OK:
             return EngineStream(engine, attempt_id, response)
         response.close()
-        detail = f"resume answered with status {response.status}"
+        detail = f"request to resume got status {response.status}"
         if response.status in UNKNOWN_ATTEMPT_STATUSES:
             raise AttemptUnknown(engine.id, detail, run=RunState.UNKNOWN)
         raise StreamBroken(engine.id, detail, run=RunState.UNKNOWN)
 
     def probe(self, engine: EngineMember) -> Probe:
-        """Ask ``engine`` for its state over a new connection."""
+        """Request the state of ``engine`` over a new connection."""
         call = dialects.state_call(DIALECTS_BY_VENDOR[engine.vendor])
         try:
             self._open(engine, call, {}, CONTROL_TIMEOUT_SECONDS).close()
@@ -95,7 +97,7 @@
         return Probe.ANSWERED
 
     def cancel(self, engine: EngineMember, attempt_id: str) -> None:
-        """End the work of an attempt; raise `UpstreamError`."""
+        """Cancel an attempt; raise `UpstreamError`."""
         self._control(engine, dialects.cancel_call(DIALECTS_BY_VENDOR[engine.vendor], attempt_id))
 
     def _control(self, engine: EngineMember, call: Call) -> bytes:
@@ -108,8 +110,8 @@
         self, engine: EngineMember, call: Call, headers: dict[str, str], wait_seconds: float
     ) -> urllib3.BaseHTTPResponse:
         bounds = timeout(self._connect_seconds, wait_seconds)
-        # A pool of its own, so that no connection is taken twice: an idle one may be dead,
-        # and its failure would not tell whether the attempt had started.
+        # A separate pool, so that no connection is reused: an idle one may be dead, and
+        # its failure would not show whether the attempt had started.
         with new_pool(connections=1) as pool:
             return self._send(pool, engine, call, bounds, headers, preload=False)
 
@@ -141,9 +143,9 @@
 
 
 def is_connection_refused(error: UpstreamError) -> bool:
-    """Return whether the host itself said that nothing listens: its process has ended.
+    """Return whether the host refused the connection, so the engine's process has ended.
 
-    A connection that could not be made for another reason may only be cut off.
+    After any other failure to connect, the engine may be running but unreachable.
     """
     cause = error.__cause__
     return cause is not None and isinstance(cause.__cause__, ConnectionRefusedError)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_control.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_control.py
@@ -1,4 +1,4 @@
-"""Polls of and orders to one engine in its vendor's dialect."""
+"""Polls engines and sends them orders in their vendors' dialects."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -27,44 +27,44 @@
 REFUSED_STATUSES = range(300, 500)
 UNAVAILABLE_STATUS = 503
 
-# Returns how many seconds the order may still take; raises `LeaseLost` when it may not go out.
+# Returns how many seconds the order may still take; raises `LeaseLost` if it must not be sent.
 Guard = Callable[[], float]
 
 
 class EngineControl:
-    """Each call is sent exactly once and bounded in time and size."""
+    """Sends each call exactly once; responses are limited in time and size."""
 
     def __init__(self, connect_seconds: float) -> None:
         self._pool = new_pool()
         self._connect_seconds = connect_seconds
 
     def report(self, engine: EngineMember) -> Report:
-        """Poll ``engine``; raise `UpstreamError` or `ReportInvalid`."""
+        """Return the state of ``engine``; raise `UpstreamError` or `ReportInvalid`."""
         dialect = DIALECTS_BY_VENDOR[engine.vendor]
         body = self._control(engine, dialects.state_call(dialect))
         try:
             report = dialects.parse_report(dialect, body)
         except RecursionError:
-            raise ReportInvalid("nested too deeply") from None
+            raise ReportInvalid("body nested too deeply") from None
         check_report(report)
         return report
 
     def cache_events(self, engine: EngineMember, since: int) -> list[CacheEvent]:
-        """Poll cache events after number ``since``; raise `UpstreamError` or `ReportInvalid`."""
+        """Return the cache events after ``since``; raise `UpstreamError` or `ReportInvalid`."""
         dialect = DIALECTS_BY_VENDOR[engine.vendor]
         return parse_cache_events(dialect, self._control(engine, cache_events_call(dialect, since)))
 
     def order(self, engine: EngineMember, order: Order, guard: Guard) -> None:
-        """Send ``order`` once, if ``guard`` lets it go out.
+        """Send ``order`` once, if ``guard`` permits it.
 
-        Raises `LeaseLost` when it did not go out and `UpstreamError`, which
-        tells if it may have arrived.
+        Raises `LeaseLost` if it was not sent, and `UpstreamError`, whose ``run`` says
+        whether it may have arrived.
         """
         call = dialects.order_call(DIALECTS_BY_VENDOR[engine.vendor], order)
         self._control(engine, call, guard)
 
     def raise_fence(self, engine: EngineMember, fence: int) -> None:
-        """Make the engine refuse orders below ``fence``, where its vendor can."""
+        """Make the engine refuse orders below ``fence``, if its vendor has fencing."""
         call = dialects.fence_call(DIALECTS_BY_VENDOR[engine.vendor], fence)
         if call is not None:
             self._control(engine, call)
@@ -100,10 +100,11 @@
 
 
 def _guarded(body: bytes, guard: Guard | None) -> Iterator[bytes]:
-    """Yield ``body`` when the connection stands and the headers are out.
+    """Yield ``body`` after ``guard`` permits it again.
 
-    The holder may be paused while it connects, for longer than its lease:
-    after it wakes, the guard is asked again before the order's first byte.
+    The generator runs once the headers are sent. This process may be paused while it
+    connects, for longer than its lease, so the guard is called again before the first
+    byte of the order's body.
     """
     if guard is not None:
         guard()
@@ -111,18 +112,18 @@
 
 
 def _read_bounded(response: urllib3.BaseHTTPResponse, deadline: float) -> bytes:
-    """Return the body; raise `ReportInvalid` past the limit of bytes or time.
+    """Return the body; raise `ReportInvalid` if it is too large or too slow.
 
-    The read timeout bounds the gap between bytes only: without the deadline a
-    body that drips in would hold its owner's thread for good.
+    The read timeout bounds only the gap between bytes: without the deadline, an engine
+    that trickles its body would block the thread forever.
     """
     body = bytearray()
     while chunk := response.read1(READ_CHUNK_BYTES, decode_content=False):
         body += chunk
         if len(body) > MAX_BODY_BYTES:
-            raise ReportInvalid(f"more than {MAX_BODY_BYTES} bytes")
+            raise ReportInvalid(f"body of more than {MAX_BODY_BYTES} bytes")
         if time.monotonic() > deadline:
-            raise ReportInvalid(f"incomplete after {CONTROL_TIMEOUT_SECONDS} s")
+            raise ReportInvalid(f"body incomplete after {CONTROL_TIMEOUT_SECONDS} s")
     return bytes(body)
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_stream.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_stream.py
@@ -1,4 +1,4 @@
-"""The open answer of one attempt: events checked one by one."""
+"""The response stream of one attempt, with each event checked."""
 
 from collections.abc import Iterator
 
@@ -15,7 +15,7 @@
 
 
 class EngineStream:
-    """Yields events of one attempt and no other's; its connection is used once."""
+    """Yields the events of one attempt; its connection is not reused."""
 
     def __init__(
         self, engine: EngineMember, attempt_id: str, response: urllib3.BaseHTTPResponse
@@ -23,17 +23,17 @@
         self._engine = engine
         self._attempt_id = attempt_id
         self._response = response
-        # Kept here: urllib3 forgets the connection when the body has been read.
+        # Stored since urllib3 drops its reference once the body has been read.
         self._connection = response.connection
 
     def events(self, position: int) -> Iterator[StreamEvent]:
         """Yield each token from ``position`` on, then the terminator.
 
-        Raises `StreamSilent` when nothing came for too long, and `StreamBroken`
-        when the stream was cut, or at the first event that is another attempt's,
-        out of order, doubled, or an end that does not fit what has arrived. The
-        connection is closed in every case: the next request on it would read
-        the rest of this answer as its own.
+        Raises `StreamSilent` on a read timeout, and `StreamBroken` if the stream is
+        truncated or at the first event that belongs to another attempt, is out of order
+        or repeated, or is a terminator whose total does not match the tokens received.
+        The connection is closed in every case: another request on it would read the
+        rest of this response as its own.
         """
         try:
             yield from self._checked(position)
@@ -45,7 +45,10 @@
             self.close()
 
     def set_timeout(self, seconds: float) -> None:
-        """Bound each further read; no effect when the upstream closes after this answer."""
+        """Set the timeout of further reads.
+
+        Has no effect if the upstream closes the connection after this response.
+        """
         sock = getattr(self._connection, "sock", None)
         if sock is not None:
             sock.settimeout(seconds)
@@ -69,10 +72,10 @@
                     yield event
                     return
                 case None:
-                    raise self._broken("an event of another attempt")
+                    raise self._broken("stream contains an event of another attempt")
                 case _:
-                    raise self._broken(f"{event} in place of number {expected}")
-        raise self._broken("ended without terminator")
+                    raise self._broken(f"got {event}, expected token {expected}")
+        raise self._broken("stream ended without its terminator")
 
     def _broken(self, detail: str) -> StreamBroken:
         return StreamBroken(self._engine.id, detail, run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/in_flight.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/in_flight.py
@@ -1,4 +1,4 @@
-"""Which requests this instance has running at each upstream."""
+"""Requests of this instance in flight at each upstream."""
 
 import itertools
 import threading
@@ -16,7 +16,7 @@
 
 
 class InFlight:
-    """Counts by upstream id, and by unit for those that are to be unloaded."""
+    """Counts requests by upstream, and remembers the unit that each of them uses."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
@@ -27,9 +27,9 @@
 
     @contextmanager
     def track(self, upstream: str, unit: str = "") -> Iterator[None]:
-        """Count one request at ``upstream`` for the time of the block.
+        """Count a request at ``upstream`` as in flight for the duration of the block.
 
-        A request that names no ``unit`` counts as using each of them.
+        A request without ``unit`` counts as using every unit.
         """
         with self._lock:
             ticket = next(self._tickets)
@@ -43,16 +43,16 @@
                 self._counts[upstream] -= 1
 
     def count(self, upstream: str) -> int:
-        """Return how many run at ``upstream``."""
+        """Return the number of requests in flight at ``upstream``."""
         return self._counts[upstream]
 
     def total(self) -> int:
-        """Return how many run at all upstreams."""
+        """Return the number of requests in flight at all upstreams."""
         with self._lock:
             return sum(self._counts.values())
 
     def may_use(self, upstream: str, unit: str, before: float) -> bool:
-        """Return whether a request that began ``before`` may use ``unit`` there."""
+        """Return whether a request that began before ``before`` may use ``unit`` there."""
         with self._lock:
             return any(
                 o.upstream == upstream and o.unit in ("", unit) and o.since < before
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_client.py
@@ -1,4 +1,4 @@
-"""Calls to plain services."""
+"""Sends calls to plain services."""
 
 from typing import NamedTuple
 
@@ -17,7 +17,7 @@
 
 
 class PlainCall(NamedTuple):
-    """A call as the caller made it; ``path`` begins with a slash."""
+    """A call as received from the caller; ``path`` begins with a slash."""
 
     attempt_id: str
     method: str
@@ -27,7 +27,7 @@
 
 
 class PlainAnswer(NamedTuple):
-    """A whole answer of a plain service."""
+    """A complete response of a plain service."""
 
     status: int
     content_type: str
@@ -37,15 +37,15 @@
 class PlainClient:
     """Sends each call exactly once, on a fresh connection.
 
-    A pooled idle connection may be dead; its failure would not tell whether the
-    call was run. On a fresh one, a failure to connect is truly not run.
+    A pooled idle connection may be dead, and its failure would not show whether the
+    call was run. On a fresh one, a failure to connect means that it was not run.
     """
 
     def __init__(self, connect_seconds: float) -> None:
         self._connect_seconds = connect_seconds
 
     def call(self, member: PlainMember, call: PlainCall, timeout_seconds: float) -> PlainAnswer:
-        """Return the answer; raise `UpstreamError`, which tells if it may have run."""
+        """Return the response; raise `UpstreamError`, whose ``run`` says if the call may have run."""
         with new_pool(connections=1) as pool:
             response = self._send(pool, member, call, timeout_seconds)
             self._check(member, call, response)
@@ -83,17 +83,21 @@
     ) -> None:
         answered = response.headers.get(ATTEMPT_HEADER, call.attempt_id)
         if answered != call.attempt_id:
-            raise UpstreamError(member.id, "an answer to another attempt", run=RunState.UNKNOWN)
+            raise UpstreamError(
+                member.id, "response belongs to another attempt", run=RunState.UNKNOWN
+            )
         if not _shows_truncation(call.method, response):
-            raise UpstreamError(member.id, "an answer without its length", run=RunState.UNKNOWN)
-        # A bare 503 may come from any stage of the service's work. Only one that
-        # asks for the call again says that it did not act on this one.
+            raise UpstreamError(
+                member.id, "response has no length, so it may be truncated", run=RunState.UNKNOWN
+            )
+        # A service may return a bare 503 after it has acted on the call. One with
+        # Retry-After asks for the call to be repeated, so the call was not run.
         if response.status == SERVICE_UNAVAILABLE and RETRY_AFTER in response.headers:
-            raise UpstreamError(member.id, "refused, not run", run=RunState.NOT_RUN)
+            raise UpstreamError(member.id, "refused with 503 and Retry-After", run=RunState.NOT_RUN)
 
 
 def _shows_truncation(method: str, response: urllib3.BaseHTTPResponse) -> bool:
-    """Return whether a cut of this answer would have shown."""
+    """Return whether truncation of this response would have raised an error."""
     if method == "HEAD" or response.status in BODILESS_STATUSES:
         return True
     chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_state.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_state.py
@@ -1,4 +1,4 @@
-"""Which plain upstreams said that they leave, as their owners heard it."""
+"""Stores which plain upstreams are leaving, as published by the instances that poll them."""
 
 import threading
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class PlainState(NamedTuple):
-    """What the upstream at ``url`` said last."""
+    """The latest state that the upstream at ``url`` returned."""
 
     upstream: str
     url: str
@@ -22,7 +22,7 @@
 
 
 class PlainStates:
-    """The newest state of each plain upstream that this instance heard of."""
+    """The latest state of each plain upstream, received through gossip."""
 
     def __init__(self, gossip: GossipState, members: Members) -> None:
         self._members = members
@@ -31,12 +31,12 @@
         gossip.subscribe(TOPIC, self._on_entry)
 
     def leaving(self, service: str) -> list[str]:
-        """Return the ids of the upstreams of ``service`` that said that they leave."""
+        """Return the ids of the upstreams of ``service`` that report that they are leaving."""
         return [m.id for m in self._members.plain(service) if self._is_leaving(m)]
 
     def _is_leaving(self, member: PlainMember) -> bool:
-        # A state of another address is of a process before this one: its end says
-        # nothing about the one that replaced it.
+        # A state with another address is of an earlier process with this id, and does
+        # not apply to the process that replaced it.
         state = self._states_by_id.get(member.id)
         return state is not None and state.url == member.url and state.leaving
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_watch.py
@@ -1,4 +1,4 @@
-"""Asks plain upstreams of the own failure domain whether they leave."""
+"""Polls plain upstreams of the own failure domain for whether they are leaving."""
 
 import time
 from collections.abc import Callable
@@ -18,7 +18,8 @@
 SERVING = "serving"
 OK = 200
 READ_SECONDS = 1.0
-# The word of an owner before this one may have come late and stand in its place.
+# An unchanged state is published again this often: a late entry of the instance that
+# polled the upstream before may have replaced it.
 REPEAT_SECONDS = 10.0
 
 
@@ -27,7 +28,7 @@
 
 
 class PlainWatch:
-    """One thread for each plain upstream that falls to this instance."""
+    """Runs one thread for each plain upstream that this instance polls."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         self._published_by_id: dict[str, tuple[PlainState, float]] = {}
 
     def step(self) -> None:
-        """Start to watch the upstreams that fall here, and end it for the others."""
+        """Start threads for the upstreams to poll here, and stop those of all others."""
         wanted = {
             m.id
             for m in self._members.by_id.values()
@@ -59,7 +60,7 @@
             self._start(upstream)
 
     def stop(self) -> None:
-        """End all watching."""
+        """Stop all threads."""
         for task in self._tasks_by_id.values():
             task.stop()
         self._tasks_by_id.clear()
@@ -78,7 +79,7 @@
             self._publish_if_due(PlainState(member.id, member.url, leaving))
 
     def _read_leaving(self, member: PlainMember) -> bool | None:
-        """Return what the upstream says; None when it says nothing."""
+        """Return whether the upstream reports that it is leaving; None without a valid response."""
         try:
             response = self._pool.request(
                 "GET", member.url + STATE_PATH, timeout=self._timeout, redirect=False
@@ -87,8 +88,8 @@
                 return None
             return msgspec.json.decode(response.data, type=_StateBody).phase != SERVING
         except (urllib3.exceptions.HTTPError, msgspec.MsgspecError):
-            # A service without such a path, or one that does not answer: neither
-            # is a sign that it leaves. A dead one shows by refused connections.
+            # Neither a service without this path nor one that does not answer is
+            # leaving. A crashed one is detected by refused connections.
             return None
 
     def _publish_if_due(self, state: PlainState) -> None:
@@ -97,6 +98,6 @@
         if state == published and now - published_at < REPEAT_SECONDS:
             return
         if state.leaving and state != published:
-            log_event("upstream_leaving", upstream=state.upstream, sign="its own state")
+            log_event("upstream_leaving", upstream=state.upstream, sign="state response")
         self._published_by_id[state.upstream] = (state, now)
         self._gossip.publish(TOPIC, state.upstream, state)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/probe.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/probe.py
@@ -1,10 +1,10 @@
-"""What a new connection to an engine tells."""
+"""The result of a probe of an engine over a new connection."""
 
 from enum import Enum, auto
 
 
 class Probe(Enum):
-    """``REFUSED``: the host says that nothing listens; its process has ended."""
+    """``REFUSED``: the host refused the connection, so the engine's process has ended."""
 
     ANSWERED = auto()
     REFUSED = auto()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/report_check.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/report_check.py
@@ -1,4 +1,4 @@
-"""Whether an engine's report can be true, whatever its vendor."""
+"""Checks that an engine's report is plausible, whatever its vendor."""
 
 from collections.abc import Iterator
 
@@ -14,10 +14,10 @@
 
 
 def check_report(report: Report) -> None:
-    """Raise `ReportInvalid` with every contradiction in ``report``.
+    """Raise `ReportInvalid` that lists every implausible value in ``report``.
 
-    Routing and the memory ledger reckon with these numbers: a negative size
-    would make room that is not there.
+    Routing and memory accounting compute with these numbers: a negative size would
+    count as free memory that does not exist.
     """
     findings = [
         *_capacity_findings(report),
@@ -30,34 +30,34 @@
 
 def _capacity_findings(report: Report) -> Iterator[str]:
     if not 0 < report.capacity_bytes <= MAX_CAPACITY_BYTES:
-        yield f"capacity of {report.capacity_bytes} bytes"
+        yield f"capacity of {report.capacity_bytes} bytes is out of range"
     used = sum(r.size_bytes for r in report.residents)
     if used > report.capacity_bytes:
-        yield f"{used} bytes resident in {report.capacity_bytes}"
+        yield f"{used} bytes are resident in a capacity of {report.capacity_bytes}"
 
 
 def _resident_findings(report: Report) -> Iterator[str]:
     if len(report.residents) > MAX_RESIDENTS:
-        yield f"{len(report.residents)} residents"
+        yield f"{len(report.residents)} resident units are too many"
         return
     if len({r.unit for r in report.residents}) < len(report.residents):
-        yield "a unit stands twice"
+        yield "a unit is listed twice"
     for resident in report.residents:
         if resident.size_bytes < 0:
-            yield f"{resident.unit[:MAX_NAME_CHARACTERS]!r} has {resident.size_bytes} bytes"
+            yield f"{resident.unit[:MAX_NAME_CHARACTERS]!r} has a size of {resident.size_bytes} bytes"
         if not _is_unit(resident.unit):
-            yield f"{resident.unit[:MAX_NAME_CHARACTERS]!r} is no unit"
+            yield f"{resident.unit[:MAX_NAME_CHARACTERS]!r} is not a unit"
 
 
 def _load_findings(report: Report) -> Iterator[str]:
     if report.running < 0 or report.waiting < 0:
-        yield f"{report.running} running and {report.waiting} waiting requests"
+        yield f"request counts are negative: {report.running} running, {report.waiting} waiting"
     if report.slots < 1:
-        yield f"{report.slots} slots"
+        yield f"{report.slots} slots are too few"
     if report.fence < 0:
-        yield f"fence {report.fence}"
+        yield f"fence {report.fence} is negative"
     if len(report.orders) > MAX_ORDERS:
-        yield f"{len(report.orders)} orders"
+        yield f"{len(report.orders)} orders are too many"
 
 
 def _is_unit(text: str) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/sse.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/sse.py
@@ -1,4 +1,4 @@
-"""Splits a chunked response into server-sent events."""
+"""Splits a chunked response into server-sent events (SSE)."""
 
 from collections.abc import Iterator
 
@@ -8,10 +8,10 @@
 
 
 def read_events(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    """Yield each whole event; raise a urllib3 error when the body is cut.
+    """Yield each complete event; raise a urllib3 error if the body is truncated.
 
-    The chunked body has its own terminator: a connection that closes before
-    it raises here, so a cut stream never looks like a short answer.
+    A chunked body has its own terminator. A connection that closes before it raises an
+    error, so a truncated stream never looks like a short response.
     """
     buffer = b""
     for chunk in response.stream(decode_content=False):
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/watchers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/watchers.py
@@ -1,4 +1,4 @@
-"""Which instances watch an upstream."""
+"""Selects the instances that poll a plain upstream."""
 
 from redwingscale_common.utils.digests import rendezvous_order
 
@@ -7,12 +7,12 @@
 from redwingscale_daemon._internal.models.member import PlainMember
 from redwingscale_daemon._internal.settings.settings import InstanceSettings
 
-# Two, so that a sign is not missed in the time in which a dead one is given up.
+# Two, so that one still polls while a crash of the other is not detected yet.
 WATCHERS = 2
 
 
 class Watchers:
-    """The best instances of the upstream's failure domain by rendezvous hash."""
+    """The first live instances of an upstream's failure domain in rendezvous-hash order."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self._silence_seconds = silence_seconds
 
     def includes_this_instance(self, upstream: PlainMember) -> bool:
-        """Return whether this instance watches ``upstream``."""
+        """Return whether this instance polls ``upstream``."""
         if upstream.failure_domain != self._instance.failure_domain:
             return False
         near = [
