--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstream an attempt goes to."""
+"""Routing: the choice of the upstream for each attempt."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/cache_feed.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/cache_feed.py
@@ -1,4 +1,4 @@
-"""Corrects the prefix index by engines' cache events, which come late and with gaps."""
+"""Corrects the prefix index by engines' cache events, which may be late or incomplete."""
 
 from collections.abc import Sequence
 
@@ -8,15 +8,15 @@
 from redwingscale_daemon._internal.routing.prefix_index import PrefixIndex
 
 MAX_EVENT_AGE_SECONDS = 2.0
-"""How old an event may be when it is polled: a block routed since may be stored anew."""
+"""Age of the oldest event that a poll may return: a block routed since may be cached again."""
 
 
 class CacheFeed:
-    """Takes the events of each engine in order of their sequence numbers.
+    """Applies the events of each engine in the order of their sequence numbers.
 
-    A gap may hide any eviction, and a number that falls means that the engine
-    has restarted with an empty cache: both make all that was learned of the
-    engine before doubtful, so it is forgotten and learned anew.
+    A gap may hide any eviction, and a lower number means that the engine has restarted
+    with an empty cache. In both cases all earlier entries of the engine may be wrong,
+    so they are dropped.
     """
 
     def __init__(self, index: PrefixIndex) -> None:
@@ -24,15 +24,15 @@
         self._last_by_engine: dict[str, int] = {}
 
     def since(self, engine: str) -> int:
-        """Return the number after which to poll ``engine``: its last event is asked for again.
+        """Return the number after which to poll ``engine``, so that its last event is repeated.
 
-        An engine that restarted has numbers below the last one and would answer
-        with nothing for hours; so an answer without the last event shows it.
+        A restarted engine has lower numbers than the last one, and would return no events
+        for hours. A response without the last event reveals the restart.
         """
         return max(0, self._last_by_engine.get(engine, 0) - 1)
 
     def take(self, engine: str, events: Sequence[CacheEvent], now: float) -> None:
-        """Apply ``events``, as polled at ``now`` on the monotonic clock."""
+        """Apply the ``events`` polled at ``now``, a monotonic time."""
         doubtful_before = now - MAX_EVENT_AGE_SECONDS
         ordered = sorted(events)
         last = self._last_by_engine.pop(engine, 0)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/cache_poller.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/cache_poller.py
@@ -1,4 +1,4 @@
-"""Polls the cache events of the engines that this instance owns."""
+"""Polls cache events of the engines that this instance owns."""
 
 import time
 from collections.abc import Callable
@@ -13,7 +13,10 @@
 
 
 class CachePoller:
-    """One poll of each owned engine a step, so that polls grow with engines alone."""
+    """Polls each owned engine once per step.
+
+    Only owners poll, so the number of polls grows with the engines, not the instances.
+    """
 
     def __init__(
         self,
@@ -28,7 +31,7 @@
         self._feed = feed
 
     def step(self) -> None:
-        """Poll once; an engine that does not answer is left for the next step."""
+        """Poll once; an engine that does not answer is polled again in the next step."""
         for engine in self._members.engines():
             if self._is_owned(engine.id) and not engine.leaving:
                 self._poll(engine)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/freshness.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/freshness.py
@@ -1,4 +1,4 @@
-"""Whether what is known of an engine is still worth anything."""
+"""Detects engines whose digest is too old to route by."""
 
 from collections.abc import Callable, Mapping
 
@@ -11,9 +11,9 @@
 class Freshness:
     """Compares an engine's digest with the newest one of its failure domain.
 
-    Digests stop for all engines of a domain while its owners cannot renew their
-    leases (the platform is down) or the domain is cut off; its engines work on.
-    So an engine is stale only when its neighbours were heard of much later.
+    Digests stop for all engines of a domain while its owners cannot renew their leases
+    (the platform is down) or the domain is cut off, but its engines still work. So an
+    engine is stale only if a digest of another engine of its domain is much newer.
     """
 
     def __init__(
@@ -25,10 +25,10 @@
         self._refresh_at = float("-inf")
 
     def is_stale(self, view: EngineView) -> bool:
-        """Return whether ``view`` must not be used."""
+        """Return whether the digest of ``view`` is stale, so that the engine must not be used."""
         now = self._clock()
         if now >= self._refresh_at:
-            # All engines are looked at once a second, not for each request.
+            # Scans all engines once per `REFRESH_SECONDS`, not for each request.
             self._refresh_at = now + REFRESH_SECONDS
             self._newest_by_domain = self._newest()
         newest = self._newest_by_domain.get(view.member.failure_domain, view.received_at)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/load_estimate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/load_estimate.py
@@ -1,4 +1,4 @@
-"""The load of engines: lagging reports, brought forward by what this instance sees."""
+"""Estimates the load of engines from delayed reports and own requests."""
 
 import threading
 from collections.abc import Iterable
@@ -6,17 +6,18 @@
 from redwingscale_daemon._internal.upstreams.directory import EngineView
 from redwingscale_daemon._internal.upstreams.in_flight import InFlight
 
+# Limits the ratio of all requests to the own ones, which is about the number of instances.
 MAX_FACTOR = 64.0
 SAMPLE_WEIGHT = 0.02
 
 
 class LoadEstimate:
-    """Work per slot, never less than what this instance itself has running there.
+    """Estimates requests per slot, at least those of this instance in flight.
 
-    Between two reports this instance knows only its own starts and ends. The
-    others do alike, as callers are spread evenly, so its own change since the
-    report counts as often as its part of the whole is small. Without this, all
-    instances would send to the engine that was idle in the last report.
+    Between two reports this instance sees only its own requests start and end. Callers
+    are spread evenly over instances, so the others change alike: the own change since
+    the report is multiplied by the ratio of all requests to the own ones. Without this,
+    all instances would send to the engine that was idle in the last report.
     """
 
     def __init__(self, in_flight: InFlight) -> None:
@@ -26,7 +27,7 @@
         self._factor = 1.0
 
     def loads(self, views: Iterable[EngineView]) -> dict[str, float]:
-        """Return work per slot by engine."""
+        """Return requests per slot by engine."""
         with self._lock:
             return {view.member.id: self._load(view) for view in views}
 
@@ -44,7 +45,7 @@
         return max(here, expected) / max(1, digest.slots)
 
     def _update_factor(self, reported: int, here: int) -> None:
-        """Learn how many times this instance's own work the engines have."""
+        """Update the average ratio of reported requests to those of this instance."""
         if here:
             seen = min(max(reported / here, 1.0), MAX_FACTOR)
             self._factor += SAMPLE_WEIGHT * (seen - self._factor)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/policy.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/policy.py
@@ -1,31 +1,31 @@
-"""The routing policies: one data class each; the router matches on them."""
+"""The routing policies, as data classes that the router matches on."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RoundRobin:
-    """Each engine in turn; a baseline."""
+    """Chooses each engine in turn; a baseline."""
 
 
 @dataclass(frozen=True, slots=True)
 class RandomChoice:
-    """Any engine; a baseline."""
+    """Chooses a random engine; a baseline."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeastInFlight:
-    """The engine with the least requests of this instance; a baseline."""
+    """Chooses the engine with the fewest requests of this instance; a baseline."""
 
 
 @dataclass(frozen=True, slots=True)
 class PrefixAffinity:
-    """The engine that has the prompt's prefix, unless it is busier than others.
+    """Chooses an engine that has the prompt's prefix cached, unless it is too busy.
 
-    Loads are work per slot. An engine with the prefix may be ``affinity_slack``
-    busier than the least busy one; without a prefix, two random ones of those
-    within ``best_slack`` are compared. Other failure domains are considered when
-    the own one's least busy engine is by ``near_slack`` busier than theirs.
+    Loads are requests per slot. An engine with the prefix may exceed the least load by
+    ``affinity_slack``. Without a prefix, the less busy of two random engines within
+    ``best_slack`` is chosen. Other failure domains are considered if the least load in
+    the own one exceeds theirs by more than ``near_slack``.
     """
 
     affinity_slack: float = 0.5
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/prefix.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/prefix.py
@@ -1,4 +1,4 @@
-"""Digests of a prompt's blocks, as engines name the blocks of their prefix caches."""
+"""Computes the digests by which engines identify the blocks of their prefix caches."""
 
 import hashlib
 
@@ -10,7 +10,7 @@
 def block_digests(unit: str, prompt: str) -> list[str]:
     """Return the chained digest of each whole block, the longest prefix last.
 
-    Blocks beyond `MAX_BLOCKS` are left out: a prefix this long already decides.
+    Blocks beyond `MAX_BLOCKS` are omitted: a prefix of this length already decides the route.
     """
     end = min(len(prompt) - BLOCK_CHARACTERS + 1, MAX_BLOCKS * BLOCK_CHARACTERS)
     digests = []
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/prefix_index.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/prefix_index.py
@@ -1,4 +1,4 @@
-"""Which engines have which prefix blocks, as far as this instance knows."""
+"""Indexes which engines have which prefix blocks cached."""
 
 import threading
 from collections import OrderedDict
@@ -6,14 +6,14 @@
 
 CAPACITY_BLOCKS = 32_768
 MAX_ENGINES_PER_BLOCK = 8
-"""Engines remembered for one block; a prefix that all share needs no more."""
+"""Limits the engines stored per block; a prefix that all prompts share needs no more."""
 
 
 class PrefixIndex:
-    """A bounded map, least recently used first out, of blocks to engines.
+    """A bounded map of blocks to engines that evicts the least recently used block.
 
-    Learned from what this instance routed, corrected by cache events. A wrong
-    entry costs a prefill, never an answer, so the index may forget at any time.
+    Entries come from routed requests and are corrected by cache events. A wrong entry
+    costs a prefill but never a wrong response, so entries may be dropped at any time.
     """
 
     def __init__(self, capacity_blocks: int = CAPACITY_BLOCKS) -> None:
@@ -26,7 +26,7 @@
         return len(self._seen_at_by_engine)
 
     def matches(self, digests: Sequence[str]) -> dict[str, int]:
-        """Return how many leading blocks each engine has; engines with none are left out."""
+        """Return the number of leading blocks by engine, without engines that have none."""
         found: dict[str, int] = {}
         with self._lock:
             for count, digest in enumerate(digests, start=1):
@@ -39,7 +39,7 @@
         return found
 
     def add(self, engine: str, digests: Sequence[str], now: float) -> None:
-        """Remember that ``engine`` has these blocks since ``now``."""
+        """Store that ``engine`` has these blocks at ``now``, a monotonic time."""
         with self._lock:
             for digest in digests:
                 engines = self._seen_at_by_engine.setdefault(digest, {})
@@ -52,14 +52,14 @@
                 self._seen_at_by_engine.popitem(last=False)
 
     def discard(self, engine: str, digest: str, before: float) -> None:
-        """Forget a block of ``engine`` that was last routed there ``before`` this time."""
+        """Drop a block of ``engine`` that was last added before ``before``."""
         with self._lock:
             engines = self._seen_at_by_engine.get(digest, {})
             if engine in engines and engines[engine] < before:
                 del engines[engine]
 
     def forget(self, engine: str, before: float) -> None:
-        """Forget all that was learned of ``engine`` before this time, in constant time."""
+        """Drop all blocks of ``engine`` added before ``before``, in constant time."""
         with self._lock:
             self._forgotten_at[engine] = before
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/route.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/route.py
@@ -1,4 +1,4 @@
-"""Where an attempt goes."""
+"""The target of an attempt."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Route(NamedTuple):
-    """The engine, and the unit that is ready there: the attempt must name this one."""
+    """An engine and the unit that is ready there, which the attempt must name."""
 
     view: EngineView
     unit: Unit
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/router.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/router.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream of an attempt."""
+"""Chooses the upstream for each attempt."""
 
 import itertools
 import random
@@ -30,7 +30,7 @@
 
 
 class ModelHooks(NamedTuple):
-    """What routing needs of the deployment's text, and whom it tells of arrivals."""
+    """Functions of a model's name: its versions in the configuration, and a count of requests."""
 
     listed_versions: Callable[[str], Iterable[str]]
     note_arrival: Callable[[str], None]
@@ -42,8 +42,8 @@
 class Router:
     """Routes by its policy among the engines where a unit is ready.
 
-    Engines that leave or are stale are never chosen. What a request costs here
-    grows with the replicas of its model, not with the engines of the deployment.
+    Engines that are leaving or stale are never chosen. The cost of a request grows with
+    the replicas of its model, not with the engines of the deployment.
     """
 
     def __init__(
@@ -73,11 +73,10 @@
         self._turns = itertools.count()
 
     def route(self, unit: Unit, prompt: str, excluded: Collection[str] = ()) -> Route | None:
-        """Return where an attempt at ``unit`` goes; None when it is ready nowhere.
+        """Return the route of an attempt at ``unit``; None if no engine is available.
 
-        While the version that now serves is ready nowhere, any other listed
-        version of the model that is ready answers in its place, so a change of
-        versions leaves no caller without an answer.
+        While no engine is ready for the version of ``unit``, any other listed version of
+        the model is used, so that callers are served during a change of version.
         """
         others = (v for v in self._hooks.listed_versions(unit.model) if v != unit.version)
         for version in (unit.version, *others):
@@ -88,15 +87,15 @@
         return None
 
     def note_arrival(self, model: str) -> None:
-        """Count a request for ``model``, also one that will be refused: it is demand."""
+        """Count a request for ``model`` as demand, including requests refused later."""
         self._hooks.note_arrival(model)
 
     def choose_engine(self, unit: str, excluded: Collection[str]) -> EngineView | None:
-        """Return an engine where exactly ``unit`` is ready, None when there is none."""
+        """Return an engine where exactly ``unit`` is ready; None if there is none."""
         return self._choose(unit, "", excluded)
 
     def choose_plain(self, service: str, excluded: Collection[str]) -> PlainMember | None:
-        """Return an upstream of plain ``service``, None when there is none."""
+        """Return an upstream of the plain ``service``; None if there is none."""
         candidates = [
             m for m in self._members.plain(service) if not m.leaving and m.id not in excluded
         ]
@@ -152,7 +151,7 @@
     def _prefer_nearby(
         self, policy: PrefixAffinity, candidates: list[EngineView], loads: dict[str, float]
     ) -> list[EngineView]:
-        """Return the own failure domain's engines, all when those are much busier."""
+        """Return the engines of the own failure domain, or all if those are much busier."""
         near = [v for v in candidates if v.member.failure_domain == self._failure_domain]
         most = min(loads.values()) + policy.near_slack
         return near if near and min(loads[v.member.id] for v in near) <= most else candidates
@@ -161,7 +160,7 @@
 def _with_longest_prefix(
     lightly_loaded: list[EngineView], blocks: dict[str, int]
 ) -> list[EngineView]:
-    """Return the engines that have the most of the prefix."""
+    """Return the engines that have the longest part of the prefix cached."""
     longest = max((blocks.get(v.member.id, 0) for v in lightly_loaded), default=0)
     return [v for v in lightly_loaded if longest and blocks.get(v.member.id, 0) == longest]
 
@@ -169,10 +168,10 @@
 def _home_engines(
     lightly_loaded: list[EngineView], pool: list[EngineView], digests: Sequence[str]
 ) -> list[EngineView]:
-    """Return where a prefix that this instance has not seen yet belongs.
+    """Return the engines that a prefix new to this instance is assigned to.
 
-    All instances come to the same two engines without a word, so that a prefix
-    is kept twice in a failure domain and not once for each instance.
+    All instances compute the same two engines without communication, so a prefix is
+    cached twice in a failure domain and not once per instance.
     """
     if not digests:
         return []
