--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which requests are taken, and which are refused at once."""
+"""Admission: which requests run, wait or are refused at once."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/arrival.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/arrival.py
@@ -1,4 +1,4 @@
-"""What admission needs to know of a request."""
+"""The properties of a request that admission depends on."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Flow(NamedTuple):
-    """Requests that share one part of a full instance."""
+    """The requests of one caller and priority, which share one weight in the queue."""
 
     caller: str
     priority: int
@@ -15,7 +15,7 @@
 class Arrival(NamedTuple):
     """A request before admission; ``unit`` is empty for a plain service.
 
-    ``share`` weighs the caller against others; each step of ``priority`` towards
+    ``share`` is the caller's weight relative to others; each step of ``priority`` towards
     0 doubles it. ``deadline_at`` is on the gate's clock.
     """
 
@@ -33,5 +33,5 @@
 
     @property
     def weight(self) -> float:
-        """The part of a full instance that the flow is entitled to, against others."""
+        """The weight of the flow, relative to others, when requests have to wait."""
         return float(self.share << (LOWEST_PRIORITY - self.priority))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/capacity.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/capacity.py
@@ -1,4 +1,4 @@
-"""How many more requests the engines of a unit can take."""
+"""Estimates how many more requests the engines of a unit can run."""
 
 import itertools
 from collections import deque
@@ -15,7 +15,11 @@
 
 
 class Room(NamedTuple):
-    """``free``: requests that fit now; ``slots``: what runs here at once when it is full."""
+    """Room for requests of this instance.
+
+    ``free`` is the number that can start now, ``slots`` the number that run at once when
+    the engines are full.
+    """
 
     free: float
     slots: float
@@ -27,12 +31,11 @@
 
 
 class Capacity:
-    """Room by unit, from lagging reports and what this instance itself has running.
+    """Estimates room by unit from delayed reports and this instance's own requests.
 
-    A report tells the load as it was some time ago; since then this instance's
-    own part has changed by a known amount, so that is added. Whatever the
-    reports say, each instance may use its even part of an engine's slots: a
-    stale report of a full engine must not keep all instances away from it.
+    A report shows the load of some time ago; the change in own requests since then is
+    added. Whatever the reports say, each instance may use its equal share of an engine's
+    slots: a stale report of a full engine must not keep all instances away from it.
     """
 
     def __init__(
@@ -53,7 +56,7 @@
         self._samples_by_engine: dict[str, deque[_Sample]] = {}
 
     def room(self, unit: str) -> Room | None:
-        """Return the room for ``unit``; None while nothing is known that could limit it."""
+        """Return the room for ``unit``; None if unknown: no engines, or one without a digest."""
         candidates = [v for v in self._directory.engines_with(unit) if not v.leaving]
         near = [v for v in candidates if self._is_near(v)]
         engines = near or candidates
@@ -70,13 +73,13 @@
         reported = digest.running + digest.waiting
         load = max(here, reported + here - self._in_flight_at(view, here))
         equal_share = digest.slots / instances
-        # All instances see the same report: if each took all that is free in it,
-        # they would overrun the engine together.
+        # All instances see the same report: if each used all free slots in it, together
+        # they would overload the engine.
         share_of_free = (digest.slots - load) / instances
         return Room(max(0.0, share_of_free, equal_share - here), max(equal_share, here))
 
     def _in_flight_at(self, view: EngineView, here: int) -> int:
-        """Return how many ran here when the newest report of the engine was true."""
+        """Return the requests of this instance in flight when the newest report was made."""
         samples = self._samples_by_engine.setdefault(view.member.id, deque(maxlen=MAX_SAMPLES))
         now = self._clock()
         if not samples or now - samples[-1].taken_at >= self._lag_seconds / SAMPLES_IN_LAG:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/fair_queue.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/fair_queue.py
@@ -1,4 +1,4 @@
-"""Waiting requests in weighted fair order."""
+"""A queue of waiting requests in weighted fair order."""
 
 import itertools
 from bisect import insort
@@ -10,7 +10,10 @@
 
 
 class Place(NamedTuple):
-    """A ticket's place: the least ``finish`` goes first."""
+    """The place of a ticket in the queue: the lowest ``finish`` is first.
+
+    ``start`` and ``finish`` are virtual times; ``order`` breaks ties by arrival.
+    """
 
     finish: float
     order: int
@@ -19,11 +22,11 @@
 
 
 class FairQueue:
-    """Start-time fair queueing over flows.
+    """Orders requests of several flows by start-time fair queueing.
 
-    Each flow's requests are spaced by the inverse of its weight in virtual time,
-    so a flood only delays its own flow. Virtual time follows the request that
-    was admitted last, so a flow that was idle gains no credit.
+    The requests of a flow are spaced by the inverse of its weight in virtual time, so a
+    flood delays only its own flow. Virtual time follows the request that was admitted
+    last, so an idle flow gains no credit.
     """
 
     def __init__(self) -> None:
@@ -36,22 +39,22 @@
         return len(self._places)
 
     def __iter__(self) -> Iterator[Place]:
-        """Iterate over a copy, first to last."""
+        """Iterate over a copy of the places, first to last."""
         return iter(tuple(self._places))
 
     def place(self, ticket: Ticket) -> Place:
-        """Return the place that ``ticket`` would take now."""
+        """Return the place that ``ticket`` would have if it were added now."""
         arrival = ticket.arrival
         start = max(self._virtual, self._finish_by_flow.get(arrival.flow, 0.0))
         return Place(start + 1.0 / arrival.weight, next(self._order), start, ticket)
 
     def add(self, place: Place) -> None:
-        """Let the ticket of ``place`` wait."""
+        """Add ``place`` to the queue."""
         self._finish_by_flow[place.ticket.arrival.flow] = place.finish
         insort(self._places, place)
 
     def admit(self, place: Place) -> None:
-        """Take the ticket of ``place`` out, or past, the queue as the one that runs next."""
+        """Remove ``place``, or skip the queue if it was not added, since its ticket runs next."""
         if place in self._places:
             self._places.remove(place)
         else:
@@ -60,18 +63,18 @@
         self._forget_idle_flows()
 
     def drop(self, place: Place) -> None:
-        """Take a ticket out that will not run; its flow gets the time back."""
+        """Remove ``place`` of a ticket that will not run, and refund its flow's virtual time."""
         self._places.remove(place)
         arrival = place.ticket.arrival
         if arrival.flow in self._finish_by_flow:
             self._finish_by_flow[arrival.flow] -= 1.0 / arrival.weight
 
     def last(self) -> Place:
-        """Return the place that comes last; the queue must not be empty."""
+        """Return the last place; the queue must not be empty."""
         return self._places[-1]
 
     def _forget_idle_flows(self) -> None:
-        # A flow whose time is past starts from the virtual time anyway.
+        # Without an entry a flow starts at the current virtual time, as it would with a past one.
         past = [f for f, finish in self._finish_by_flow.items() if finish <= self._virtual]
         for flow in past:
             del self._finish_by_flow[flow]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
@@ -1,4 +1,4 @@
-"""Admits requests in fair order, or refuses those that cannot be in time."""
+"""Admits requests in fair order and refuses those that cannot meet their deadline."""
 
 import threading
 import time
@@ -16,40 +16,40 @@
 from redwingscale_daemon._internal.models.generation import EndEvent, StreamEvent
 
 RECHECK_SECONDS = 0.05
-# An admitted request counts at its engine from its attempt on; until then it is
-# held against the room, for this long at most.
+# An admitted request counts as in flight only once its attempt starts. Until then, but
+# at most for this time, it is subtracted from the room.
 DISPATCH_SECONDS = 0.02
 MIN_RETRY_AFTER_SECONDS = 0.5
-# A newcomer's estimated wait may take this part of the time that it has to spare.
-# With all of it the queue stays as long as can just be in time, and half of those
-# who wait are refused late, after all.
+# Fraction of its spare time that the estimated wait of a new arrival may use. With 1.0 the
+# queue would grow to the longest that can meet its deadlines, and half of the waiting
+# requests would be refused late.
 WAIT_FRACTION = 0.6
 RESERVED_DIVISOR = 10
 QUEUE_DIVISOR = 5
 
 
 class GateLimits(NamedTuple):
-    """How many requests may run and wait at once in this instance."""
+    """How many requests may run and wait at the same time in this instance."""
 
     running: int
     waiting: int
 
 
 def gate_limits(threads: int) -> GateLimits:
-    """Split the request threads; what is left over answers refusals and probes."""
+    """Split the request threads; the remaining ones serve refusals and probes."""
     waiting = max(1, threads // QUEUE_DIVISOR)
     reserved = max(2, threads // RESERVED_DIVISOR)
     return GateLimits(max(1, threads - waiting - reserved), waiting)
 
 
 class RoomSource(Protocol):
-    """Where the gate learns how much the engines can take."""
+    """Returns how many more requests the engines can run; implemented by `Capacity`."""
 
     def room(self, unit: str) -> Room | None: ...
 
 
 class Gate:
-    """One lock; callers' threads wait on their own tickets."""
+    """Admits, queues or refuses requests under one lock; each thread waits on its own ticket."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """The number of waiting requests."""
         return len(self._queue)
 
     @contextmanager
@@ -81,17 +81,17 @@
             self.leave(ticket)
 
     def enter(self, arrival: Arrival) -> Ticket:
-        """Block until the request may run; raise `Refusal` as soon as it cannot be in time."""
+        """Block until the request may run; raise `Refusal` once it cannot meet its deadline."""
         ticket = self.offer(arrival)
         while not ticket.is_decided(RECHECK_SECONDS):
-            # Room also appears without anybody leaving here: by a newer report.
+            # A newer report may show room without a request ending in this instance.
             self.recheck()
         if ticket.refusal is not None:
             raise ticket.refusal
         return ticket
 
     def leave_after(self, ticket: Ticket, events: Iterator[StreamEvent]) -> Iterator[StreamEvent]:
-        """Yield ``events`` and end the request with them; the first has arrived already."""
+        """Yield ``events``, then call `leave`; the first event must have arrived already."""
         first_at = self._clock()
         try:
             for event in events:
@@ -99,28 +99,28 @@
                     self._record(ticket, event.total, first_at)
                 yield event
         finally:
-            # Closing is how the relay hears that the caller has gone.
+            # Closing the generator signals to the relay that the caller disconnected.
             if isinstance(events, Generator):
                 events.close()
             self.leave(ticket)
 
     def offer(self, arrival: Arrival) -> Ticket:
-        """Return a ticket that is admitted, refused or waits for `recheck` and `leave`."""
+        """Return a ticket that is admitted, refused, or waits for `recheck` or `leave`."""
         ticket = Ticket(arrival)
         with self._lock:
-            # Room may have appeared unseen: those who wait go before the newcomer.
+            # If room has appeared since the last check, waiting requests precede the new one.
             self._admit_waiting()
             self._decide(ticket)
         return ticket
 
     def leave(self, ticket: Ticket) -> None:
-        """End an admitted request and admit who comes next."""
+        """End an admitted request and admit waiting ones."""
         with self._lock:
             self._running[ticket.arrival.unit] -= 1
             self._admit_waiting()
 
     def recheck(self) -> None:
-        """Admit who has got room, and refuse who can no longer be in time."""
+        """Admit requests that have room, refuse those that can no longer meet their deadline."""
         with self._lock:
             self._admit_waiting()
 
@@ -167,7 +167,7 @@
                 full_units.add(unit)
 
     def _shed(self) -> None:
-        """Refuse the last in fair order: the flow that is furthest above its part."""
+        """Refuse the last in fair order if too many wait: its flow most exceeds its share."""
         if len(self._queue) <= self._limits.waiting:
             return
         last = self._queue.last()
@@ -176,7 +176,7 @@
             Refusal(
                 429,
                 "overloaded",
-                "more requests wait than fit, and this caller is the furthest above its share",
+                "too many requests are waiting, and this caller exceeds its share the most",
                 retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, self._expected_wait_seconds(last)),
             )
         )
@@ -192,7 +192,7 @@
             Refusal(
                 503,
                 "deadline_unreachable",
-                f"it could take {wait_needed + expected:.2f} s, {late:.2f} s too long",
+                f"the response could take {wait_needed + expected:.2f} s, {late:.2f} s too long",
                 retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, min(late, wait_needed)),
             )
         )
@@ -211,7 +211,7 @@
         return sum(t.arrival.unit == unit for t in self._dispatching)
 
     def _expected_wait_seconds(self, place: Place) -> float:
-        """Return how long the ticket of ``place`` would wait for its turn."""
+        """Return how long the ticket of ``place`` is expected to wait."""
         arrival = place.ticket.arrival
         expected = self._rates.expected_seconds(arrival.unit, arrival.max_tokens)
         ahead = sum(p < place and p.ticket.arrival.unit == arrival.unit for p in self._queue)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/service_rates.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/service_rates.py
@@ -1,4 +1,4 @@
-"""How long answers of each unit take, as this instance has seen it."""
+"""Averages how long completions of each unit take in this instance."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Completion(NamedTuple):
-    """An answer that has ended; times in seconds."""
+    """The size and times of one complete response."""
 
     max_tokens: int
     tokens: int
@@ -15,7 +15,7 @@
 
 
 class Rate(NamedTuple):
-    """Moving averages: time to the first token, gap_seconds, and used_fraction part of ``max_tokens``."""
+    """Moving averages; ``gap_seconds`` is per token, ``used_fraction`` of ``max_tokens``."""
 
     first_token_seconds: float
     gap_seconds: float
@@ -23,13 +23,13 @@
 
 
 class ServiceRates:
-    """Averages by unit; a unit never seen is taken to be instant."""
+    """Keeps averages by unit; a unit without completions is expected to take no time."""
 
     def __init__(self) -> None:
         self._rates_by_unit: dict[str, Rate] = {}
 
     def record(self, unit: str, completion: Completion) -> None:
-        """Take a whole answer into the averages."""
+        """Add a complete response to the averages of ``unit``."""
         newest = Rate(
             first_token_seconds=completion.first_token_seconds,
             gap_seconds=(completion.total_seconds - completion.first_token_seconds)
@@ -42,7 +42,7 @@
         )
 
     def expected_seconds(self, unit: str, max_tokens: int) -> float:
-        """Return how long an answer takes once an engine runs it."""
+        """Return how long a response is expected to take once an engine runs the request."""
         rate = self._rates_by_unit.get(unit)
         if rate is None:
             return 0.0
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/ticket.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/ticket.py
@@ -1,4 +1,4 @@
-"""One request at the gate."""
+"""The state of one request in admission."""
 
 import threading
 
@@ -7,7 +7,7 @@
 
 
 class Ticket:
-    """Waits to be admitted or refused; ``admitted_at`` is on the gate's clock."""
+    """A request that is admitted, refused or waiting; ``admitted_at`` is on the gate's clock."""
 
     def __init__(self, arrival: Arrival) -> None:
         self.arrival = arrival
@@ -16,15 +16,15 @@
         self._decided = threading.Event()
 
     def admit(self, now: float) -> None:
-        """Let the request run."""
+        """Mark the request as admitted, so that it may run."""
         self.admitted_at = now
         self._decided.set()
 
     def refuse(self, refusal: Refusal) -> None:
-        """Give the request its final answer."""
+        """Mark the request as refused with ``refusal``."""
         self.refusal = refusal
         self._decided.set()
 
     def is_decided(self, wait_seconds: float = 0.0) -> bool:
-        """Return whether it may run or is refused, after at most ``wait_seconds``."""
+        """Return whether the request is admitted or refused, waiting up to ``wait_seconds``."""
         return self._decided.wait(wait_seconds)
