--- a/packages/redwingscale-daemon/tests/functional/test_bad_input.py
+++ b/packages/redwingscale-daemon/tests/functional/test_bad_input.py
@@ -30,15 +30,15 @@
     deployment = make_deployment(SHAPE, settings=SETTINGS)
     made = Client(deployment)
     made.apply("one", izmir_text)
-    made.wait_for(lambda: works(made), "the service through the instance")
+    made.wait_for(lambda: service_responds(made), "the service through the instance")
     return made
 
 
-def works(client):
+def service_responds(client):
     return client.post("one", PATH, "portal", {"ping": 1}).status == 200
 
 
-def runs(client):
+def calls_run(client):
     url = client._deployment.members_by_id["bids"].admin_url
     record = urllib3.request("GET", f"{url}/admin/record").json()
     return [r for r in record if "ping" not in r["body"]]
@@ -57,21 +57,21 @@
         answer = b""
         while chunk := connection.recv(65536):
             answer += chunk
-            if is_whole(answer):
+            if is_complete(answer):
                 break
     head, _, body = answer.partition(b"\r\n\r\n")
     assert b"application/problem+json" in head, answer
     return int(head.split()[1]), json.loads(body)
 
 
-def is_whole(answer):
+def is_complete(answer):
     head, separator, body = answer.partition(b"\r\n\r\n")
     lengths = [int(x[15:]) for x in head.lower().split(b"\r\n") if x.startswith(b"content-length:")]
     return bool(separator and lengths and len(body) >= lengths[0])
 
 
 CHUNKED = "Transfer-Encoding: chunked\r\n\r\n"
-RAW = {
+MALFORMED_REQUESTS = {
     "a body over the limit": (413, (HEAD, f"Content-Length: {BODY_LIMIT + 1}\r\n\r\n", "x" * 9000)),
     "a body of a terabyte": (413, (HEAD, "Content-Length: 1099511627776\r\n\r\n", "x" * 9000)),
     "a chunked body over the limit": (413, (HEAD, CHUNKED, "182b8\r\n", "x" * 99000)),
@@ -95,18 +95,18 @@
 }
 
 
-@pytest.mark.parametrize("what", RAW)
-def test_bad_bytes_are_refused_and_the_instance_goes_on(client, what):
-    status, parts = RAW[what]
+@pytest.mark.parametrize("case", MALFORMED_REQUESTS)
+def test_malformed_request_is_refused_and_the_instance_keeps_serving(client, case):
+    status, parts = MALFORMED_REQUESTS[case]
 
     answered, document = exchange(client, *parts)
 
     assert (answered, document["status"], document["run"]) == (status, status, "not_run")
-    assert runs(client) == []
-    assert works(client)
+    assert calls_run(client) == []
+    assert service_responds(client)
 
 
-def test_trickling_senders_do_not_hold_the_threads(client):
+def test_trickling_senders_do_not_block_all_threads(client):
     """More callers than there are threads each send a byte now and then, so
     that no single read times out. Every thread would wait for hours and the
     instance answer nobody; the bound holds for the request as a whole."""
@@ -122,9 +122,9 @@
             except OSError:
                 continue
 
-    assert works(client)
+    assert service_responds(client)
     assert all(b" 408 " in sender.recv(65536) for sender in senders)
-    assert runs(client) == []
+    assert calls_run(client) == []
     for sender in senders:
         sender.close()
 
@@ -169,10 +169,12 @@
         ("/v1/nothing", "portal", {}, {}, 404, "path_unknown"),
     ],
 )
-def test_request_that_cannot_be_served(client, path, caller, body, headers, status, code):
+def test_request_that_cannot_be_served_is_refused(
+    client, path, caller, body, headers, status, code
+):
     answer = client.post("one", path, caller, body, headers)
 
     assert (answer.status, answer.headers["Content-Type"]) == (status, "application/problem+json")
     assert answer.document["type"].endswith(f":{code}")
     assert answer.document["run"] == "not_run"
-    assert runs(client) == []
+    assert calls_run(client) == []
--- a/packages/redwingscale-daemon/tests/functional/test_golden_session.py
+++ b/packages/redwingscale-daemon/tests/functional/test_golden_session.py
@@ -20,7 +20,7 @@
 CHANGING = re.compile(rb'"created":\d+')
 
 
-def shown(answer):
+def visible_parts(answer):
     """Return what a caller sees of an answer, without what differs in every run."""
     body = CHANGING.sub(b'"created":0', answer.body).decode()
     kept = ("Content-Type", "Retry-After", "X-Request-Id")
@@ -41,7 +41,7 @@
     def ask(name, caller, model, **headers):
         sent = {"X-Request-Id": name} | headers
         body = {"model": model, "prompt": "lot 17", "max_tokens": 3, "stream": True}
-        return shown(client.post("two", "/v1/completions", caller, body, sent))
+        return visible_parts(client.post("two", "/v1/completions", caller, body, sent))
 
     chat = {
         "model": "listing-vetter:a1",
@@ -51,7 +51,7 @@
     session = {
         "applied": {key: applied[key] for key in ("version", "author")},
         "streamed": ask("r1", "clerks", "listing-vetter"),
-        "chat": shown(
+        "chat": visible_parts(
             client.post("two", "/v1/chat/completions", "clerks", chat, {"X-Request-Id": "r2"})
         ),
         "another caller's model": ask("r3", "portal", "listing-vetter"),
@@ -66,7 +66,7 @@
     assert session == snapshot
 
 
-def test_the_second_operator_gets_the_version_that_came_first(make_deployment, izmir_text):
+def test_second_operator_is_refused_and_gets_the_current_version(make_deployment, izmir_text):
     """Two operators edit version 0 and apply one after the other.
 
     The second would silently undo the first; it is refused and gets the first's text.
--- a/packages/redwingscale-daemon/tests/functional/test_leaving.py
+++ b/packages/redwingscale-daemon/tests/functional/test_leaving.py
@@ -16,7 +16,7 @@
 CALLER = "portal"
 MODEL = "m"
 STREAMS = 100
-LONGEST_AFTER_SIGN_SECONDS = 3.0
+MAX_DETECTION_SECONDS = 3.0
 TEXT = json.dumps(
     {
         "deployment": "leaving",
@@ -45,12 +45,12 @@
     made = Client(deployment)
     made.apply("one", TEXT)
     for instance in SHAPE.instances_by_id:
-        made.wait_for(lambda i=instance: engines(made, i) == 2, "both engines")
+        made.wait_for(lambda i=instance: count_engines(made, i) == 2, "both engines")
         made.wait_for(lambda i=instance: bid(made, i).status == 200, "the plain service")
     return made
 
 
-def engines(client, instance):
+def count_engines(client, instance):
     models = client.operate(instance, "GET", "/models").document
     return len(models.get(f"{MODEL}@v1", {"engines": []})["engines"])
 
@@ -69,7 +69,7 @@
     it as live. Calls that go on reaching it would be cut by its end."""
     deployment = client._deployment
     deployment.set_faults("bids-1", phase="leaving")
-    time.sleep(LONGEST_AFTER_SIGN_SECONDS)
+    time.sleep(MAX_DETECTION_SECONDS)
     runs = len(record(client, "bids-1"))
 
     statuses = {bid(client, i).status for _ in range(20) for i in SHAPE.instances_by_id}
@@ -83,7 +83,7 @@
     Only its owner polls it; the other instance must hear of it in time."""
     deployment = client._deployment
     deployment.set_faults("engine-a", leaving=True)
-    time.sleep(LONGEST_AFTER_SIGN_SECONDS)
+    time.sleep(MAX_DETECTION_SECONDS)
     started = record(client, "engine-a")["started"]
 
     answers = [
@@ -96,7 +96,7 @@
     assert record(client, "engine-a")["started"] == started
 
 
-def test_upstream_that_all_have_left_is_refused_as_not_run(client):
+def test_call_is_not_run_when_all_upstreams_are_leaving(client):
     for member in ("bids-1", "bids-2"):
         client._deployment.set_faults(member, phase="leaving")
     client.wait_for(lambda: bid(client, "one").status == 503, "the refusal")
@@ -104,7 +104,7 @@
     assert bid(client, "one").document["run"] == "not_run"
 
 
-def test_stop_under_open_streams_cuts_none(client):
+def test_stopping_instance_finishes_open_streams(client):
     """An operator stops an instance while it carries a hundred streams. It is
     unready first, finishes every one of them, gives its leases back and ends
     with 0; a caller whose stream was cut would have lost its answer."""
@@ -136,7 +136,7 @@
     assert "one" not in [value["holder"] for _, value, _ in owners.values()]
 
 
-def test_generation_that_may_run_once_is_let_finish(client):
+def test_non_idempotent_generation_finishes_after_its_caller_disconnects(client):
     """A caller of a non-idempotent generation goes away in mid-stream and sends
     it again through the other instance: the engines have run it once, and the
     repeat gets the whole text."""
@@ -155,11 +155,11 @@
 
     repeats = []
 
-    def is_kept():
+    def text_is_kept():
         repeats.append(client.post("two", "/v1/completions", CALLER, body, headers))
         return repeats[-1].status == 200
 
-    client.wait_for(is_kept, "the kept text")
+    client.wait_for(text_is_kept, "the kept text")
 
     assert {r.document["run"] for r in repeats[:-1]} <= {"unknown"}
     lines = [x[6:] for x in repeats[-1].body.decode().splitlines() if x.startswith("data: ")]
--- a/packages/redwingscale-daemon/tests/unit/routing/test_policies.py
+++ b/packages/redwingscale-daemon/tests/unit/routing/test_policies.py
@@ -120,15 +120,15 @@
     return make
 
 
-def test_affinity_beats_its_baselines(make_bare_router):
+def test_prefix_affinity_outperforms_the_baselines(make_bare_router):
     """Reports are up to a second old while six instances route by them.
 
     Instances that trust them herd on the engine that was idle, and answers are
     late; those that ignore them and the prefixes prefill the same text again.
     Counts of a seeded run; measured 1.068 and 1.336 times the best baseline.
     """
-    ours = _run(make_bare_router, PrefixAffinity())
-    others = [_run(make_bare_router, p) for p in (RoundRobin(), RandomChoice(), LeastInFlight())]
+    affinity = _run(make_bare_router, PrefixAffinity())
+    baselines = [_run(make_bare_router, p) for p in (RoundRobin(), RandomChoice(), LeastInFlight())]
 
-    assert ours.on_time >= 1.03 * max(o.on_time for o in others)
-    assert ours.hits / ours.blocks >= 1.2 * max(o.hits / o.blocks for o in others)
+    assert affinity.on_time >= 1.03 * max(o.on_time for o in baselines)
+    assert affinity.hits / affinity.blocks >= 1.2 * max(o.hits / o.blocks for o in baselines)
--- a/packages/redwingscale-daemon/tests/unit/routing/test_router.py
+++ b/packages/redwingscale-daemon/tests/unit/routing/test_router.py
@@ -42,7 +42,7 @@
     assert _chosen(make_router(policy=policy)) == {"good"}
 
 
-def test_engines_stay_usable_when_no_digest_comes_any_more(engines, make_router):
+def test_engines_stay_usable_when_all_digests_are_old(engines, make_router):
     """The platform is down: no owner may renew, so all digests of a domain grow old.
 
     The engines answer as before. Taking them for stale would turn an outage of
@@ -56,7 +56,7 @@
     assert _chosen(make_router()) == {"e0", "e1"}
 
 
-def test_old_version_answers_until_the_new_one_is_ready(engines, make_router):
+def test_old_version_is_used_until_the_new_one_is_ready(engines, make_router):
     """Operators serve v2, which is still loading; callers must notice nothing.
 
     The route names v1, since the engine would refuse an attempt at v2.
@@ -71,14 +71,14 @@
     assert (before.unit, after.unit) == (V1, V2)
 
 
-def test_a_version_that_is_no_longer_listed_does_not_answer(engines, make_router):
+def test_unlisted_version_is_not_used(engines, make_router):
     engines.add("e0", "a", str(V1))
     router = make_router(hooks=ModelHooks(lambda model: ["v2"], lambda model: None))
 
     assert router.route(V2, "") is None
 
 
-def test_own_failure_domain_goes_first_unless_it_is_overloaded(engines, make_router):
+def test_own_failure_domain_is_preferred_unless_overloaded(engines, make_router):
     engines.add("near", "a", str(V1))
     engines.add("far", "b", str(V1))
     assert _chosen(make_router()) == {"near"}
@@ -103,7 +103,7 @@
     assert home not in elsewhere
 
 
-def test_routers_with_the_same_report_do_not_herd(engines, make_router):
+def test_routers_with_the_same_report_spread_their_requests(engines, make_router):
     """Six instances see the same report, in which one engine is idle.
 
     Were all to send there, it would be the busiest until the next report.
@@ -124,7 +124,7 @@
     assert max(sent.count(f"e{n}") for n in range(8)) <= 2 * len(sent) / 8
 
 
-def test_digests_are_those_of_the_engines():
+def test_block_digests_equal_those_of_the_engines():
     assert block_digests(str(V1), PROMPT) == prefix_digests(str(V1), PROMPT)
 
 
@@ -138,35 +138,35 @@
 
 
 @pytest.fixture
-def learned():
-    """An index that learned three blocks of engine e0, and the feed that corrects it."""
+def index_and_feed():
+    """An index that index_and_feed three blocks of engine e0, and the feed that corrects it."""
     index = PrefixIndex()
     index.add("e0", ["x", "y", "z"], 10.0)
     return index, CacheFeed(index)
 
 
-def test_evicted_blocks_are_forgotten(cache_event, learned):
-    index, feed = learned
+def test_evicted_blocks_are_dropped(cache_event, index_and_feed):
+    index, feed = index_and_feed
 
     feed.take("e0", [cache_event(1, "+x"), cache_event(2, "-y")], 20.0)
 
     assert index.matches(["x", "y", "z"]) == {"e0": 1}
 
 
-def test_a_late_eviction_spares_what_was_routed_since(cache_event, learned):
-    index, feed = learned
+def test_late_eviction_keeps_blocks_routed_since(cache_event, index_and_feed):
+    index, feed = index_and_feed
 
     feed.take("e0", [cache_event(1, "-y")], 11.0)
 
     assert index.matches(["x", "y"]) == {"e0": 2}
 
 
-def test_a_gap_makes_all_that_was_learned_doubtful(cache_event, learned):
+def test_gap_in_events_drops_all_blocks_of_the_engine(cache_event, index_and_feed):
     """An engine drops events; one of them may be the eviction of any block.
 
     Following the index would send prompts to an engine that has to prefill.
     """
-    index, feed = learned
+    index, feed = index_and_feed
     feed.take("e0", [cache_event(1, "+x")], 20.0)
 
     feed.take("e0", [cache_event(1, "+x"), cache_event(5, "+w")], 30.0)
@@ -175,12 +175,12 @@
     assert index.matches(["w"]) == {"e0": 1}
 
 
-def test_a_restarted_engine_has_nothing(cache_event, learned):
+def test_restart_of_an_engine_drops_its_blocks(cache_event, index_and_feed):
     """An engine restarts between two polls; its numbers begin anew below the last one.
 
     Asked for later numbers only, it would answer with nothing for hours.
     """
-    index, feed = learned
+    index, feed = index_and_feed
     feed.take("e0", [cache_event(7, "+x"), cache_event(8, "+y")], 20.0)
 
     feed.take("e0", [], 30.0)
--- a/packages/redwingscale-daemon/tests/unit/test_admission.py
+++ b/packages/redwingscale-daemon/tests/unit/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission under a seeded model of arrivals, on the gate's own virtual clock."""
+"""Admission under a seeded engines of arrivals, on the gate's own virtual clock."""
 
 import heapq
 import itertools
@@ -20,14 +20,14 @@
 from redwingscale_daemon._internal.upstreams.in_flight import InFlight
 
 SLOTS = 16
-FIRST, TOKENS, GAP = 0.1, 20, 0.02
-SERVICE_SECONDS = FIRST + (TOKENS - 1) * GAP
-CAPACITY = SLOTS / SERVICE_SECONDS
-SECONDS = 30.0
+FIRST_TOKEN_SECONDS, TOKENS, GAP_SECONDS = 0.1, 20, 0.02
+SERVICE_SECONDS = FIRST_TOKEN_SECONDS + (TOKENS - 1) * GAP_SECONDS
+CAPACITY_PER_SECOND = SLOTS / SERVICE_SECONDS
+RUN_SECONDS = 30.0
 LIMITS = GateLimits(running=112, waiting=32)
 
 
-class Demand(NamedTuple):
+class CallerLoad(NamedTuple):
     caller: str
     share: int
     priority: int
@@ -35,16 +35,16 @@
     deadline: float
 
 
-class Model:
+class SimulatedEngines:
     """Engines with ``SLOTS`` slots and fixed service times behind a gate."""
 
-    def __init__(self, seed, demands, limits=LIMITS):
+    def __init__(self, seed, loads, limits=LIMITS):
         self.now = 0.0
         self.busy = 0
         self.offered, self.in_time, self.refused, self.late = Counter(), Counter(), Counter(), 0
         self.retry_after = []
         self._rng = random.Random(seed)
-        self._demands = demands
+        self._loads = loads
         self._gate = Gate(limits, self, clock=lambda: self.now)
         self._events = []
         self._order = itertools.count()
@@ -54,9 +54,9 @@
         return Room(SLOTS - self.busy, SLOTS)
 
     def run(self):
-        for demand in self._demands:
-            for at in self._times(demand.rate):
-                self._at(at, self._arrive, demand, at)
+        for load in self._loads:
+            for at in self._times(load.rate):
+                self._at(at, self._arrive, load, at)
         while self._events:
             self.now, _, act, arguments = heapq.heappop(self._events)
             act(*arguments)
@@ -65,17 +65,17 @@
 
     def _times(self, rate):
         at = self._rng.expovariate(rate)
-        while at < SECONDS:
+        while at < RUN_SECONDS:
             yield at
             at += self._rng.expovariate(rate)
 
     def _at(self, when, act, *arguments):
         heapq.heappush(self._events, (when, next(self._order), act, arguments))
 
-    def _arrive(self, demand, at):
-        self.offered[demand.caller] += 1
+    def _arrive(self, load, at):
+        self.offered[load.caller] += 1
         arrival = Arrival(
-            demand.caller, demand.share, demand.priority, "m@v1", TOKENS, at + demand.deadline
+            load.caller, load.share, load.priority, "m@v1", TOKENS, at + load.deadline
         )
         ticket = self._gate.offer(arrival)
         self._open[id(ticket)] = ticket
@@ -91,13 +91,13 @@
                 assert ticket.refusal.run == "not_run"
             else:
                 self.busy += 1
-                self._at(self.now + FIRST, self._first_token, ticket)
+                self._at(self.now + FIRST_TOKEN_SECONDS, self._first_token, ticket)
 
     def _first_token(self, ticket):
         tokens = [TokenEvent(n, "t") for n in range(TOKENS)]
         stream = self._gate.leave_after(ticket, iter([*tokens, EndEvent(TOKENS)]))
         next(stream)
-        self._at(self.now + SERVICE_SECONDS - FIRST, self._end, ticket, stream)
+        self._at(self.now + SERVICE_SECONDS - FIRST_TOKEN_SECONDS, self._end, ticket, stream)
 
     def _end(self, ticket, stream):
         self.busy -= 1
@@ -107,20 +107,20 @@
         self.late += not in_time
 
 
-def one_caller(rate, deadline=0.9):
-    return [Demand("clerks", 1, 5, rate, deadline)]
+def load_of_one_caller(rate, deadline=0.9):
+    return [CallerLoad("clerks", 1, 5, rate, deadline)]
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_twice_the_capacity_keeps_the_attainment(seed):
+def test_twice_the_capacity_keeps_the_throughput(seed):
     """Twice what the engines can serve arrives. Without refusals everybody
     waits until nearly all are late; with them as many are in time as at
     capacity, and nobody is given a time that has passed already."""
-    at_capacity = Model(seed, one_caller(CAPACITY)).run()
-    overloaded = Model(seed, one_caller(2 * CAPACITY)).run()
+    at_capacity = SimulatedEngines(seed, load_of_one_caller(CAPACITY_PER_SECOND)).run()
+    overloaded = SimulatedEngines(seed, load_of_one_caller(2 * CAPACITY_PER_SECOND)).run()
 
     assert overloaded.in_time["clerks"] >= 0.95 * at_capacity.in_time["clerks"]
-    assert overloaded.in_time["clerks"] >= 0.9 * CAPACITY * SECONDS
+    assert overloaded.in_time["clerks"] >= 0.9 * CAPACITY_PER_SECOND * RUN_SECONDS
     assert overloaded.late <= 0.01 * overloaded.offered["clerks"]
     assert min(overloaded.retry_after) > 0
 
@@ -129,37 +129,43 @@
 def test_flood_does_not_starve_lookups(seed):
     """One caller sends ten times the capacity of low priority work in the
     last minutes before a deadline: the registrars' lookups are still answered in time."""
-    demands = [
-        Demand("citizens", 4, 5, 10 * CAPACITY, 5.0),
-        Demand("registrars", 1, 1, 0.3 * CAPACITY, 1.5),
+    loads = [
+        CallerLoad("citizens", 4, 5, 10 * CAPACITY_PER_SECOND, 5.0),
+        CallerLoad("registrars", 1, 1, 0.3 * CAPACITY_PER_SECOND, 1.5),
     ]
 
-    model = Model(seed, demands).run()
+    engines = SimulatedEngines(seed, loads).run()
 
-    assert model.in_time["registrars"] >= 0.99 * model.offered["registrars"]
-    assert sum(model.in_time.values()) >= 0.95 * CAPACITY * SECONDS
+    assert engines.in_time["registrars"] >= 0.99 * engines.offered["registrars"]
+    assert sum(engines.in_time.values()) >= 0.95 * CAPACITY_PER_SECOND * RUN_SECONDS
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_callers_of_one_priority_get_their_shares(seed):
-    demands = [Demand("small", 1, 5, 2 * CAPACITY, 3.0), Demand("large", 3, 5, 2 * CAPACITY, 3.0)]
+    loads = [
+        CallerLoad("small", 1, 5, 2 * CAPACITY_PER_SECOND, 3.0),
+        CallerLoad("large", 3, 5, 2 * CAPACITY_PER_SECOND, 3.0),
+    ]
 
-    model = Model(seed, demands).run()
+    engines = SimulatedEngines(seed, loads).run()
 
-    assert model.in_time["large"] / model.in_time["small"] == pytest.approx(3, rel=0.15)
+    assert engines.in_time["large"] / engines.in_time["small"] == pytest.approx(3, rel=0.15)
 
 
-def test_lowest_priority_is_not_starved_either():
-    demands = [Demand("a", 1, 0, 0.8 * CAPACITY, 2.0), Demand("b", 1, 9, CAPACITY, 2.0)]
+def test_lowest_priority_is_not_starved():
+    loads = [
+        CallerLoad("a", 1, 0, 0.8 * CAPACITY_PER_SECOND, 2.0),
+        CallerLoad("b", 1, 9, CAPACITY_PER_SECOND, 2.0),
+    ]
 
-    model = Model(1, demands).run()
+    engines = SimulatedEngines(1, loads).run()
 
-    assert model.in_time["a"] >= 0.98 * model.offered["a"]
-    assert model.in_time["b"] >= 0.1 * model.offered["b"]
+    assert engines.in_time["a"] >= 0.98 * engines.offered["a"]
+    assert engines.in_time["b"] >= 0.1 * engines.offered["b"]
 
 
-def test_full_instance_refuses_at_once_with_a_time_to_come_back():
-    gate = Gate(GateLimits(1, 1), Model(0, []))
+def test_full_instance_refuses_at_once_with_a_retry_time():
+    gate = Gate(GateLimits(1, 1), SimulatedEngines(0, []))
     arrival = Arrival("clerks", 1, 5, "", 1, float("inf"))
     gate.enter(arrival)
     waiting = gate.offer(arrival)
@@ -172,8 +178,8 @@
     assert not waiting.is_decided()
 
 
-def test_request_that_holds_on_keeps_its_room_until_its_stream_ends():
-    gate = Gate(GateLimits(1, 1), Model(0, []))
+def test_request_keeps_its_room_until_its_stream_is_closed():
+    gate = Gate(GateLimits(1, 1), SimulatedEngines(0, []))
     ticket = gate.enter(Arrival("clerks", 1, 5, "", 1, float("inf")))
     stream = gate.leave_after(ticket, iter([TokenEvent(0, "t"), EndEvent(1)]))
     next(stream)
@@ -186,7 +192,7 @@
 
 
 @pytest.mark.parametrize("threads", [1, 8, 160])
-def test_threads_are_left_over_for_refusals(threads):
+def test_threads_remain_for_refusals(threads):
     limits = gate_limits(threads)
     assert limits.running >= 1
     assert threads < 8 or limits.running + limits.waiting + 2 <= threads
@@ -207,7 +213,7 @@
         self.view = EngineView(self.member, digest, received_at)
 
 
-def test_room_corrects_a_lagging_report_by_what_ran_here_since():
+def test_room_corrects_a_delayed_report_by_own_requests():
     """The report is a second old. What this instance has sent since is not in
     it, and what has ended since still is: a gate that believed the report
     would overrun the engine, or leave it idle. Of what is free, each of the
--- a/packages/redwingscale-daemon/tests/unit/test_report_check.py
+++ b/packages/redwingscale-daemon/tests/unit/test_report_check.py
@@ -13,7 +13,7 @@
 from redwingscale_standins.engine.profile import Profile
 
 APIS_BY_VENDOR = {"alder": AlderApi, "birch": BirchApi}
-SOUND_BY_VENDOR = {
+VALID_BY_VENDOR = {
     "alder": {
         "phase": "serving",
         "memory": {
@@ -34,7 +34,7 @@
         "tickets": {"o1": "done"},
     },
 }
-NONSENSE = {
+INVALID_REPORTS = {
     "not JSON": lambda text: "<html>",
     "blank": lambda text: " ",
     "wrong type": lambda text: text.replace('"m@v1"', "7"),
@@ -54,8 +54,8 @@
 
 
 @pytest.fixture(params=sorted(APIS_BY_VENDOR))
-def reporting(request):
-    """An engine of each vendor, its listing, and a sound report of its own."""
+def reporting_engine(request):
+    """An engine of each vendor, its listing, and a valid report of its own."""
     profile = Profile(10_000_000, 8, 0.001, 1.0, 0.001, 64, 0.1)
     engine = Engine(profile, "", checks_fencing=False)
     api = APIS_BY_VENDOR[request.param](engine)
@@ -63,28 +63,28 @@
     server.start()
     url = f"http://127.0.0.1:{server.port}"
     member = EngineMember("e1", "a", False, url, request.param, 2, False, 5.0)
-    yield engine, member, json.dumps(SOUND_BY_VENDOR[request.param])
+    yield engine, member, json.dumps(VALID_BY_VENDOR[request.param])
     server.stop()
 
 
-@pytest.mark.parametrize("kind", NONSENSE)
-def test_nonsense_report_is_refused(reporting, kind):
+@pytest.mark.parametrize("kind", INVALID_REPORTS)
+def test_invalid_report_is_rejected(reporting_engine, kind):
     """Callers of an engine get errors, or its memory runs out under a model.
 
     An engine with a fault of its own answers polls with numbers that cannot
     be true; whoever reckons with them sends orders that do not fit.
     """
-    engine, member, sound = reporting
-    engine.faults.nonsense_report = NONSENSE[kind](sound)
-    assert engine.faults.nonsense_report != sound
+    engine, member, valid = reporting_engine
+    engine.faults.nonsense_report = INVALID_REPORTS[kind](valid)
+    assert engine.faults.nonsense_report != valid
 
     with pytest.raises(ReportInvalid):
         EngineControl(1.0).report(member)
 
 
-def test_sound_report_is_taken(reporting):
-    engine, member, sound = reporting
-    engine.faults.nonsense_report = sound
+def test_valid_report_is_returned(reporting_engine):
+    engine, member, valid = reporting_engine
+    engine.faults.nonsense_report = valid
 
     report = EngineControl(1.0).report(member)
 
