--- a/packages/redwingscale-daemon/tests/functional/test_bad_input.py
+++ b/packages/redwingscale-daemon/tests/functional/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a problem document at once, touches no upstream, and the instance goes on."""
+"""Invalid input gets a problem document, reaches no upstream, and stops no instance."""
 
 import json
 import socket
@@ -45,7 +45,7 @@
 
 
 def exchange(client, *parts, pause=0.0):
-    """Send raw bytes; return status and document of the answer."""
+    """Send raw bytes; return the status and the problem document of the response."""
     address = urlsplit(client._deployment.members_by_id["one"].urls_by_name["callers_url"])
     with socket.create_connection((address.hostname, address.port), timeout=20) as connection:
         for part in parts:
@@ -107,9 +107,11 @@
 
 
 def test_trickling_senders_do_not_block_all_threads(client):
-    """More callers than there are threads each send a byte now and then, so
-    that no single read times out. Every thread would wait for hours and the
-    instance answer nobody; the bound holds for the request as a whole."""
+    """More callers than threads each send a byte now and then, so no read times out.
+
+    Guards against a timeout per read only: every thread would wait for hours and the
+    instance would serve no one. The timeout applies to the whole request.
+    """
     address = urlsplit(client._deployment.members_by_id["one"].urls_by_name["callers_url"])
     senders = [socket.create_connection((address.hostname, address.port)) for _ in range(12)]
     for sender in senders:
--- a/packages/redwingscale-daemon/tests/functional/test_golden_session.py
+++ b/packages/redwingscale-daemon/tests/functional/test_golden_session.py
@@ -1,4 +1,4 @@
-"""The golden session: a text applied, requests answered and refused, a drain."""
+"""A golden session: a configuration is applied, requests are served or refused, a drain."""
 
 import json
 import re
@@ -21,7 +21,7 @@
 
 
 def visible_parts(answer):
-    """Return what a caller sees of an answer, without what differs in every run."""
+    """Return the parts of a response that a caller sees and that are equal in every run."""
     body = CHANGING.sub(b'"created":0', answer.body).decode()
     kept = ("Content-Type", "Retry-After", "X-Request-Id")
     headers = {k: answer.headers[k] for k in kept if k in answer.headers}
@@ -67,9 +67,10 @@
 
 
 def test_second_operator_is_refused_and_gets_the_current_version(make_deployment, izmir_text):
-    """Two operators edit version 0 and apply one after the other.
+    """Two operators edit version 0 and apply their changes one after the other.
 
-    The second would silently undo the first; it is refused and gets the first's text.
+    Guards against the second silently undoing the first: it is refused, and its response
+    contains the text of the first.
     """
     client = Client(make_deployment(SHAPE))
     other = json.loads(izmir_text)
--- a/packages/redwingscale-daemon/tests/functional/test_leaving.py
+++ b/packages/redwingscale-daemon/tests/functional/test_leaving.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave get no new work, and an instance that stops cuts nothing."""
+"""Leaving upstreams get no new work, and a stopping instance finishes open requests."""
 
 import json
 import signal
@@ -65,8 +65,10 @@
 
 
 def test_leaving_plain_service_gets_no_new_calls(client):
-    """An upstream says that it leaves while the platform's list goes on showing
-    it as live. Calls that go on reaching it would be cut by its end."""
+    """An upstream reports that it is leaving while the platform's list shows it as live.
+
+    Calls sent to it afterwards would be cut off when it ends.
+    """
     deployment = client._deployment
     deployment.set_faults("bids-1", phase="leaving")
     time.sleep(MAX_DETECTION_SECONDS)
@@ -79,8 +81,10 @@
 
 
 def test_leaving_engine_gets_no_new_requests(client):
-    """An engine reports that it leaves, and the list goes on showing it as live.
-    Only its owner polls it; the other instance must hear of it in time."""
+    """An engine reports that it is leaving while the platform's list shows it as live.
+
+    Only its owner polls it; the other instance must be notified in time.
+    """
     deployment = client._deployment
     deployment.set_faults("engine-a", leaving=True)
     time.sleep(MAX_DETECTION_SECONDS)
@@ -105,9 +109,11 @@
 
 
 def test_stopping_instance_finishes_open_streams(client):
-    """An operator stops an instance while it carries a hundred streams. It is
-    unready first, finishes every one of them, gives its leases back and ends
-    with 0; a caller whose stream was cut would have lost its answer."""
+    """An operator stops an instance that has a hundred open streams.
+
+    It becomes unready first, finishes every stream, releases its leases and exits with
+    0. A caller whose stream was cut off would have lost its response.
+    """
     member = client._deployment.members_by_id["one"]
     status = client.operate
 
@@ -137,9 +143,11 @@
 
 
 def test_non_idempotent_generation_finishes_after_its_caller_disconnects(client):
-    """A caller of a non-idempotent generation goes away in mid-stream and sends
-    it again through the other instance: the engines have run it once, and the
-    repeat gets the whole text."""
+    """A caller of a non-idempotent generation disconnects in mid-stream and retries.
+
+    The retry goes through the other instance. The engines must have run the generation
+    once, and the retry gets the whole text.
+    """
     member = client._deployment.members_by_id["one"]
     headers = {
         "Authorization": f"Bearer {demo_token(CALLER)}",
--- a/packages/redwingscale-daemon/tests/unit/routing/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/routing/conftest.py
@@ -1,4 +1,4 @@
-"""A directory with made-up engines, and routers before it."""
+"""Fixtures: a directory of fake engines, and routers that use it."""
 
 import random
 import time
@@ -17,7 +17,7 @@
 
 
 class Engines:
-    """Tells digests of engines; ``report`` replaces what was told of one."""
+    """Publishes digests of engines; ``report`` replaces the digest of one."""
 
     def __init__(self) -> None:
         self.gossip = GossipState("owner")
@@ -38,7 +38,7 @@
         self.gossip.publish("digest", engine, digest)
 
     def age(self, engine: str, seconds: float) -> None:
-        """Let the digest of ``engine`` be ``seconds`` old."""
+        """Make the digest of ``engine`` ``seconds`` old."""
         digest, _ = self.directory._digests[engine]
         self.directory._digests[engine] = (digest, time.monotonic() - seconds)
         self.directory.update_members(self._members)
--- a/packages/redwingscale-daemon/tests/unit/routing/test_policies.py
+++ b/packages/redwingscale-daemon/tests/unit/routing/test_policies.py
@@ -1,4 +1,4 @@
-"""The policy beside its baselines, over the same seeded arrivals: counts, no clocks."""
+"""Compares the routing policy with baselines on the same seeded arrivals, by counts."""
 
 import random
 from collections import OrderedDict
@@ -36,7 +36,7 @@
 
 
 class FakeEngine:
-    """A batch of bounded slots before a cache of bounded blocks."""
+    """An engine with ``SLOTS`` slots and a prefix cache of ``CACHE_BLOCKS`` blocks."""
 
     def __init__(self, member: EngineMember) -> None:
         self.view = EngineView(member, Digest(member.id, 1, False, 1, (), 0, 0, SLOTS), 0.0)
@@ -57,7 +57,7 @@
         return missing
 
     def tick(self, now: int) -> int:
-        """Start what fits, end what is due; return how many ended on time."""
+        """Start and end requests that are due; return how many ended on time."""
         ended = [r for r in self.running if r[0] <= now]
         self.running = [r for r in self.running if r[0] > now]
         for _, _, span in ended:
@@ -121,11 +121,11 @@
 
 
 def test_prefix_affinity_outperforms_the_baselines(make_bare_router):
-    """Reports are up to a second old while six instances route by them.
+    """Six instances route by reports that are up to a second old.
 
-    Instances that trust them herd on the engine that was idle, and answers are
-    late; those that ignore them and the prefixes prefill the same text again.
-    Counts of a seeded run; measured 1.068 and 1.336 times the best baseline.
+    Guards against instances that trust these reports, overload the engine that was idle
+    and respond late, and against those that ignore prefixes, so that engines prefill the
+    same text again.
     """
     affinity = _run(make_bare_router, PrefixAffinity())
     baselines = [_run(make_bare_router, p) for p in (RoundRobin(), RandomChoice(), LeastInFlight())]
--- a/packages/redwingscale-daemon/tests/unit/routing/test_router.py
+++ b/packages/redwingscale-daemon/tests/unit/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Which engine an attempt goes to."""
+"""The engines that a router chooses, and the prefix index that it uses."""
 
 from contextlib import ExitStack
 
@@ -29,9 +29,9 @@
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_leaving_stale_and_unready_engines_are_never_chosen(engines, make_router, policy):
-    """Engines on their way out, or gone unnoticed, still stand in the directory.
+    """Engines that are leaving or crashed undetected are still in the directory.
 
-    A request sent there is cut or waits for nothing, whatever the policy.
+    Whatever the policy, a request sent there is cut off or waits in vain.
     """
     for engine in ("good", "listed-leaving", "says-leaving", "stale", "loading"):
         engines.add(engine, "a", str(V1), leaving=engine == "listed-leaving")
@@ -43,10 +43,10 @@
 
 
 def test_engines_stay_usable_when_all_digests_are_old(engines, make_router):
-    """The platform is down: no owner may renew, so all digests of a domain grow old.
+    """While the platform is down no owner can renew its lease, so all digests grow old.
 
-    The engines answer as before. Taking them for stale would turn an outage of
-    the store into one of everything.
+    The engines still work. Treating them as stale would turn an outage of the store into
+    an outage of the whole deployment.
     """
     for engine in ("e0", "e1"):
         engines.add(engine, "a", str(V1))
@@ -57,7 +57,7 @@
 
 
 def test_old_version_is_used_until_the_new_one_is_ready(engines, make_router):
-    """Operators serve v2, which is still loading; callers must notice nothing.
+    """Operators switch to v2 while it is still loading; callers must not be affected.
 
     The route names v1, since the engine would refuse an attempt at v2.
     """
@@ -104,9 +104,10 @@
 
 
 def test_routers_with_the_same_report_spread_their_requests(engines, make_router):
-    """Six instances see the same report, in which one engine is idle.
+    """Six instances see the same reports, in which half of the engines are idle.
 
-    Were all to send there, it would be the busiest until the next report.
+    Guards against all instances sending to one of those, which would be the busiest
+    until the next report.
     """
     for n in range(8):
         engines.add(f"e{n}", "a", str(V1))
@@ -139,7 +140,7 @@
 
 @pytest.fixture
 def index_and_feed():
-    """An index that index_and_feed three blocks of engine e0, and the feed that corrects it."""
+    """An index with three blocks of engine e0, and the feed that corrects it."""
     index = PrefixIndex()
     index.add("e0", ["x", "y", "z"], 10.0)
     return index, CacheFeed(index)
@@ -162,9 +163,9 @@
 
 
 def test_gap_in_events_drops_all_blocks_of_the_engine(cache_event, index_and_feed):
-    """An engine drops events; one of them may be the eviction of any block.
+    """An engine drops events, one of which may be the eviction of any block.
 
-    Following the index would send prompts to an engine that has to prefill.
+    Guards against routing prompts by an index whose blocks the engine no longer has.
     """
     index, feed = index_and_feed
     feed.take("e0", [cache_event(1, "+x")], 20.0)
@@ -176,9 +177,9 @@
 
 
 def test_restart_of_an_engine_drops_its_blocks(cache_event, index_and_feed):
-    """An engine restarts between two polls; its numbers begin anew below the last one.
+    """An engine restarts between two polls, and its numbers begin again below the last one.
 
-    Asked for later numbers only, it would answer with nothing for hours.
+    Polled for later numbers only, it would return no events for hours.
     """
     index, feed = index_and_feed
     feed.take("e0", [cache_event(7, "+x"), cache_event(8, "+y")], 20.0)
--- a/packages/redwingscale-daemon/tests/unit/test_admission.py
+++ b/packages/redwingscale-daemon/tests/unit/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission under a seeded engines of arrivals, on the gate's own virtual clock."""
+"""Admission of seeded random arrivals, simulated on a virtual clock."""
 
 import heapq
 import itertools
@@ -113,9 +113,11 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_twice_the_capacity_keeps_the_throughput(seed):
-    """Twice what the engines can serve arrives. Without refusals everybody
-    waits until nearly all are late; with them as many are in time as at
-    capacity, and nobody is given a time that has passed already."""
+    """Twice the requests that the engines can serve arrive.
+
+    Without refusals all wait and nearly all miss their deadlines. With refusals as many
+    meet them as at capacity, and each refusal names a positive retry time.
+    """
     at_capacity = SimulatedEngines(seed, load_of_one_caller(CAPACITY_PER_SECOND)).run()
     overloaded = SimulatedEngines(seed, load_of_one_caller(2 * CAPACITY_PER_SECOND)).run()
 
@@ -127,8 +129,10 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_flood_does_not_starve_lookups(seed):
-    """One caller sends ten times the capacity of low priority work in the
-    last minutes before a deadline: the registrars' lookups are still answered in time."""
+    """One caller sends ten times the capacity in requests of lower priority.
+
+    The lookups of the registrars must still meet their deadlines.
+    """
     loads = [
         CallerLoad("citizens", 4, 5, 10 * CAPACITY_PER_SECOND, 5.0),
         CallerLoad("registrars", 1, 1, 0.3 * CAPACITY_PER_SECOND, 1.5),
@@ -199,7 +203,7 @@
 
 
 class OneEngine:
-    """A directory and a member list with one engine and one instance."""
+    """A directory with one engine, whose report can be replaced."""
 
     def __init__(self):
         self.member = EngineMember("e", "a", False, "", "alder", 1, True, 0.0)
@@ -214,10 +218,12 @@
 
 
 def test_room_corrects_a_delayed_report_by_own_requests():
-    """The report is a second old. What this instance has sent since is not in
-    it, and what has ended since still is: a gate that believed the report
-    would overrun the engine, or leave it idle. Of what is free, each of the
-    eight instances takes its part, and never less than its even part."""
+    """The report is a second old: requests sent since are missing, ended ones included.
+
+    A gate that relied on it would overload the engine or leave it idle. Of the free
+    slots, each of the eight instances uses an equal share, and it may always use an
+    equal share of all slots.
+    """
     now = [10.0]
     directory, in_flight = OneEngine(), InFlight()
     members = Members(None)
--- a/packages/redwingscale-daemon/tests/unit/test_report_check.py
+++ b/packages/redwingscale-daemon/tests/unit/test_report_check.py
@@ -1,4 +1,4 @@
-"""Engines that report nonsense, over real sockets in the dialects of both vendors."""
+"""Invalid reports of engines, over real sockets in the dialects of both vendors."""
 
 import json
 
@@ -55,7 +55,7 @@
 
 @pytest.fixture(params=sorted(APIS_BY_VENDOR))
 def reporting_engine(request):
-    """An engine of each vendor, its listing, and a valid report of its own."""
+    """An engine of each vendor, its member entry, and a valid report as text."""
     profile = Profile(10_000_000, 8, 0.001, 1.0, 0.001, 64, 0.1)
     engine = Engine(profile, "", checks_fencing=False)
     api = APIS_BY_VENDOR[request.param](engine)
@@ -69,10 +69,10 @@
 
 @pytest.mark.parametrize("kind", INVALID_REPORTS)
 def test_invalid_report_is_rejected(reporting_engine, kind):
-    """Callers of an engine get errors, or its memory runs out under a model.
+    """A faulty engine answers polls with implausible values.
 
-    An engine with a fault of its own answers polls with numbers that cannot
-    be true; whoever reckons with them sends orders that do not fit.
+    Guards against orders computed from them: they do not fit, so callers get errors or
+    the engine runs out of memory under a model.
     """
     engine, member, valid = reporting_engine
     engine.faults.nonsense_report = INVALID_REPORTS[kind](valid)
