--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/cache_feed.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/cache_feed.py
@@ -33,22 +33,22 @@
 
     def take(self, engine: str, events: Sequence[CacheEvent], now: float) -> None:
         """Apply the ``events`` polled at ``now``, a monotonic time."""
-        doubtful_before = now - MAX_EVENT_AGE_SECONDS
+        cutoff = now - MAX_EVENT_AGE_SECONDS
         ordered = sorted(events)
         last = self._last_by_engine.pop(engine, 0)
         if last and (not ordered or ordered[0].sequence != last):
-            self._forget(engine, doubtful_before, last, ordered[0].sequence if ordered else 0)
+            self._forget(engine, cutoff, last, ordered[0].sequence if ordered else 0)
             last = ordered[0].sequence - 1 if ordered else 0
         for event in ordered:
             if event.sequence == last:
                 continue
             if last and event.sequence != last + 1:
-                self._forget(engine, doubtful_before, last, event.sequence)
+                self._forget(engine, cutoff, last, event.sequence)
             last = event.sequence
             if event.stored:
                 self._index.add(engine, [event.digest], now)
             else:
-                self._index.discard(engine, event.digest, doubtful_before)
+                self._index.discard(engine, event.digest, cutoff)
         if last:
             self._last_by_engine[engine] = last
 
