--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/fair_queue.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/fair_queue.py
@@ -74,7 +74,7 @@
         return self._places[-1]
 
     def _forget_idle_flows(self) -> None:
-        # Without an entry a flow starts at the current virtual time, as it would with a past one.
+        # A flow without an entry starts at the virtual time, as it would with an earlier one.
         past = [f for f, finish in self._finish_by_flow.items() if finish <= self._virtual]
         for flow in past:
             del self._finish_by_flow[flow]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
@@ -73,7 +73,7 @@
 
     @contextmanager
     def admitted(self, arrival: Arrival) -> Iterator[Ticket]:
-        """Run the block as an admitted request; raise `Refusal`."""
+        """Run the block as an admitted request; raise `Refusal` if it is not admitted."""
         ticket = self.enter(arrival)
         try:
             yield ticket
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/birch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/birch.py
@@ -104,7 +104,7 @@
 
 
 def order_call(order: Order) -> Call:
-    """Return the call that sends ``order``, without its fencing number."""
+    """Return the call that sends ``order``; the vendor has no fencing."""
     body = {
         "ticket": order.order_id,
         "op": "add" if order.load else "drop",
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/directory.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/directory.py
@@ -82,7 +82,7 @@
             self._replace(digest.upstream)
 
     def _replace(self, engine: str) -> None:
-        """Apply the newest digest of one engine, at a cost independent of their number."""
+        """Apply the newest digest of one engine; the cost does not grow with other engines."""
         old = self._engines_by_id.get(engine)
         if old is None:
             return
