--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/directory.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/directory.py
@@ -74,9 +74,9 @@
     def _on_entry(self, entry: Entry) -> None:
         digest = msgspec.msgpack.decode(entry.payload, type=Digest)
         with self._lock:
-            known = self._digests.get(digest.upstream)
+            current = self._digests.get(digest.upstream)
             # After a change of owner both may publish for a while; the higher fence wins.
-            if known is not None and known[0].fence > digest.fence:
+            if current is not None and current[0].fence > digest.fence:
                 return
             self._digests[digest.upstream] = (digest, time.monotonic())
             self._replace(digest.upstream)
