--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -158,7 +158,7 @@
         unit = str(route.unit)
         attempt = Attempt(uuid.uuid4().hex, unit, arrival.prompt, TOKENS, 5, 0, "")
         try:
-            with self._in_flights[arrival.instance].at(route.view.member.id):
+            with self._in_flights[arrival.instance].track(route.view.member.id):
                 for _ in self._engines.client.stream(route.view.member, attempt, {}):
                     pass
         except (UpstreamError, RedwingscaleError):
