--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
@@ -22,7 +22,12 @@
 from redwingscale_daemon._internal.idempotency.committer import Committer
 from redwingscale_daemon._internal.idempotency.outcome import Answer, OutcomeStore
 from redwingscale_daemon._internal.idempotency.retention import Retention
-from redwingscale_daemon._internal.idempotency.row_write import Beaten, Failed, RowWrite, Written
+from redwingscale_daemon._internal.idempotency.row_write import (
+    Failed,
+    RowWrite,
+    WriteConflict,
+    Written,
+)
 from redwingscale_daemon._internal.idempotency.settler import Ending, Settler
 from redwingscale_daemon._internal.models.run_state import RunState
 from redwingscale_daemon._internal.store.row import ABSENT, Row
@@ -82,9 +87,9 @@
             match write.wait(max(0.0, deadline - time.monotonic())):
                 case Written(version=taken):
                     return self._claimed(Claimed(key.row, taken, fingerprint))
-                case Beaten(row=None):
+                case WriteConflict(row=None):
                     version = ABSENT
-                case Beaten(row=Row() as row):
+                case WriteConflict(row=Row() as row):
                     claim = _same_request(self._parse(row), fingerprint)
                     if not isinstance(claim, Released):
                         return self._repeat(claim)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/committer.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/committer.py
@@ -10,9 +10,9 @@
 
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable, WriteUnknown
 from redwingscale_daemon._internal.idempotency.row_write import (
-    Beaten,
     Failed,
     RowWrite,
+    WriteConflict,
     WriteResult,
     Written,
 )
@@ -31,7 +31,7 @@
 TRIES = 2
 LONGEST_PAUSE_SECONDS = 0.5
 
-Orphaned = Callable[[RowWrite], None]
+OrphanHandler = Callable[[RowWrite], None]
 
 
 class Committer:
@@ -55,13 +55,13 @@
         self._waiting: deque[RowWrite] = deque()
         self._refuse_until = 0.0
         self._stopped = False
-        self._orphaned: Orphaned = lambda _: None
+        self._handle_orphan: OrphanHandler = lambda _: None
         self._thread = threading.Thread(target=self._run, name="claims", daemon=True)
         self.transactions = 0
 
-    def on_orphaned(self, orphaned: Orphaned) -> None:
+    def on_orphaned(self, handler: OrphanHandler) -> None:
         """Call ``orphaned`` with each write that may stand though nobody waited for it."""
-        self._orphaned = orphaned
+        self._handle_orphan = handler
 
     def start(self) -> None:
         """Begin to commit."""
@@ -83,7 +83,7 @@
                 self._waiting.append(write)
                 self._condition.notify_all()
                 return
-        write.settle(Failed("the platform's table does not answer", may_arrive=False))
+        write.settle(Failed("the platform's table does not answer", may_take_effect=False))
 
     def _run(self) -> None:
         while self._await_work():
@@ -110,25 +110,25 @@
         return list(by_key.values())
 
     def _commit(self, batch: list[RowWrite]) -> None:
-        may_arrive = False
+        may_take_effect = False
         tries = 0
         began_at = time.monotonic()
         while batch:
             try:
                 batch = self._settle(batch, self._send(batch))
             except PlatformUnavailable as error:
-                self._fail(batch, Failed(str(error), may_arrive), began_at)
+                self._fail(batch, Failed(str(error), may_take_effect), began_at)
                 return
             except WriteUnknown as error:
                 # The reply is lost, the write may have taken effect or come late.
                 # The same batch again settles both: if the first one took effect,
                 # the checks fail on rows that bear its write id; if this one does,
                 # the checks of the late one fail.
-                may_arrive = True
+                may_take_effect = True
                 tries += 1
                 if tries < TRIES:
                     continue
-                self._fail(batch, Failed(str(error), may_arrive), began_at)
+                self._fail(batch, Failed(str(error), may_take_effect), began_at)
                 return
 
     def _send(self, batch: list[RowWrite]) -> Committed | Conflict:
@@ -156,7 +156,7 @@
             case Conflict(rows=found):
                 for write in batch:
                     if write.key in found:
-                        self._end(write, _beaten(write, found[write.key]))
+                        self._end(write, _resolve_conflict(write, found[write.key]))
                 rest = [w for w in batch if w.key not in found]
                 if len(rest) == len(batch):
                     raise WriteUnknown("a conflict that names none of the rows")
@@ -176,18 +176,18 @@
         for write in batch:
             self._end(write, failed)
         for write in waiting:
-            write.settle(Failed(failed.detail, may_arrive=False))
+            write.settle(Failed(failed.detail, may_take_effect=False))
 
     def _end(self, write: RowWrite, result: WriteResult) -> None:
         awaited = write.settle(result)
         match result:
             case Written() if not awaited:
-                self._orphaned(write)
-            case Failed(may_arrive=True):
-                self._orphaned(write)
+                self._handle_orphan(write)
+            case Failed(may_take_effect=True):
+                self._handle_orphan(write)
 
 
-def _beaten(write: RowWrite, row: Row | None) -> WriteResult:
+def _resolve_conflict(write: RowWrite, row: Row | None) -> WriteResult:
     if row is not None and row.write_id in write.write_ids:
         return Written(row.version)
-    return Beaten(row)
+    return WriteConflict(row)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/row_write.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/row_write.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beaten:
+class WriteConflict:
     """The row did not have the version expected; ``row`` is what stands there."""
 
     row: Row | None
@@ -25,10 +25,10 @@
     """The platform gave no word; ``may_arrive``: the write may (yet) take effect."""
 
     detail: str
-    may_arrive: bool
+    may_take_effect: bool
 
 
-WriteResult = Written | Beaten | Failed
+WriteResult = Written | WriteConflict | Failed
 
 
 class RowWrite:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
@@ -13,8 +13,8 @@
 from redwingscale_daemon._internal.idempotency.claim import Claim, Released
 from redwingscale_daemon._internal.idempotency.committer import Committer
 from redwingscale_daemon._internal.idempotency.row_write import (
-    Beaten,
     RowWrite,
+    WriteConflict,
     WriteResult,
     Written,
 )
@@ -127,7 +127,7 @@
         result = self._commit(ending.row, ending.version, ending.claim())
         # Beaten: an earlier try of this ending has taken effect after all; nobody
         # else writes the row of an open claim.
-        return isinstance(result, Written | Beaten)
+        return isinstance(result, Written | WriteConflict)
 
     def _commit(self, row: str, version: int, claim: Claim) -> WriteResult | None:
         write = RowWrite(row, version, claim)
