--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
@@ -33,12 +33,12 @@
 from redwingscale_daemon._internal.store.row import ABSENT, Row
 from redwingscale_daemon._internal.telemetry.metrics import Metrics
 
-TAKING_TRIES = 4
+MAX_CLAIM_TRIES = 4
 ENDING_PATIENCE_SECONDS = 0.25
 RETRY_AFTER_PLATFORM_SECONDS = 1.0
 RETRY_AFTER_UNFINISHED_SECONDS = 1.0
 RETRY_AFTER_UNKNOWN_SECONDS = 30.0
-MOST_REMEMBERED = 4096
+MAX_REMEMBERED_ROWS = 4096
 
 
 class Claimed(NamedTuple):
@@ -81,7 +81,7 @@
         """
         version = ABSENT
         deadline = time.monotonic() + patience_seconds
-        for _ in range(TAKING_TRIES):
+        for _ in range(MAX_CLAIM_TRIES):
             write = RowWrite(key.row, version, self._open_claim(fingerprint))
             self._committer.submit(write)
             match write.wait(max(0.0, deadline - time.monotonic())):
@@ -146,7 +146,7 @@
     def _claimed(self, claimed: Claimed) -> Claimed:
         with self._lock:
             self._remembered[claimed.row] = None
-            if len(self._remembered) > MOST_REMEMBERED:
+            if len(self._remembered) > MAX_REMEMBERED_ROWS:
                 self._remembered.popitem(last=False)
         self._retention.note(claimed.row, self._expires_at())
         self._metrics.claims.add(1, {"result": "claimed"})
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/committer.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/committer.py
@@ -26,10 +26,10 @@
 )
 from redwingscale_daemon._internal.store.table import Table, new_write_id
 
-MOST_IN_BATCH = 64
-MOST_WAITING = 2048
-TRIES = 2
-LONGEST_PAUSE_SECONDS = 0.5
+MAX_BATCH_WRITES = 64
+MAX_QUEUED_WRITES = 2048
+MAX_TRIES = 2
+MAX_PAUSE_SECONDS = 0.5
 
 OrphanHandler = Callable[[RowWrite], None]
 
@@ -45,12 +45,12 @@
     def __init__(
         self,
         table: Table,
-        most_in_batch: int = MOST_IN_BATCH,
-        longest_pause_seconds: float = LONGEST_PAUSE_SECONDS,
+        max_batch_writes: int = MAX_BATCH_WRITES,
+        max_pause_seconds: float = MAX_PAUSE_SECONDS,
     ) -> None:
         self._table = table
-        self._longest_pause_seconds = longest_pause_seconds
-        self._most_in_batch = most_in_batch
+        self._max_pause_seconds = max_pause_seconds
+        self._max_batch_writes = max_batch_writes
         self._condition = threading.Condition()
         self._waiting: deque[RowWrite] = deque()
         self._refuse_until = 0.0
@@ -79,7 +79,7 @@
         """Queue ``write``; while the platform fails it is settled as failed at once."""
         with self._condition:
             answering = not self._stopped and time.monotonic() >= self._refuse_until
-            if answering and len(self._waiting) < MOST_WAITING:
+            if answering and len(self._waiting) < MAX_QUEUED_WRITES:
                 self._waiting.append(write)
                 self._condition.notify_all()
                 return
@@ -103,7 +103,7 @@
             for write in waiting:
                 # Two writes of one row cannot share a transaction: the second
                 # has to see the version that the first one makes.
-                if write.key in by_key or len(by_key) >= self._most_in_batch:
+                if write.key in by_key or len(by_key) >= self._max_batch_writes:
                     self._waiting.append(write)
                 elif not write.abandoned:
                     by_key[write.key] = write
@@ -126,7 +126,7 @@
                 # the checks of the late one fail.
                 may_take_effect = True
                 tries += 1
-                if tries < TRIES:
+                if tries < MAX_TRIES:
                     continue
                 self._fail(batch, Failed(str(error), may_take_effect), began_at)
                 return
@@ -171,7 +171,7 @@
         now = time.monotonic()
         log_event("claims_not_written", level="WARNING", count=len(batch), error=failed.detail)
         with self._condition:
-            self._refuse_until = now + min(now - began_at, self._longest_pause_seconds)
+            self._refuse_until = now + min(now - began_at, self._max_pause_seconds)
             waiting, self._waiting = self._waiting, deque()
         for write in batch:
             self._end(write, failed)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/outcome.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/outcome.py
@@ -7,7 +7,7 @@
 
 from redwingscale_daemon._internal.store.objects import Objects
 
-LARGEST_IN_ROW_BYTES = 2048
+MAX_IN_ROW_BYTES = 2048
 OBJECT_PREFIX = "outcomes/"
 
 
@@ -47,7 +47,7 @@
         The object is keyed by the digest of its content, so that writing it
         again after a lost reply changes nothing.
         """
-        if len(answer.body) <= LARGEST_IN_ROW_BYTES:
+        if len(answer.body) <= MAX_IN_ROW_BYTES:
             return InRow(*answer)
         key = OBJECT_PREFIX + sha256_hex(answer.body)
         self._objects.put(key, answer.body)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/retention.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/retention.py
@@ -17,7 +17,7 @@
 PROGRESS_KEY = "claim-sweep"
 LEASE_NAME = "claim-sweep"
 BUCKET_SECONDS = 3600
-MOST_IN_INDEX_ROW = 200
+MAX_INDEX_ROW_CLAIMS = 200
 PAUSE_SECONDS = 1.0
 # The bucket that is running, and one for claims whose time started again when
 # their requests ended.
@@ -60,8 +60,8 @@
         with self._lock:
             noted, self._rows_by_bucket = self._rows_by_bucket, defaultdict(list)
         for bucket, rows in noted.items():
-            for start in range(0, len(rows), MOST_IN_INDEX_ROW):
-                self._write_index(bucket, rows[start : start + MOST_IN_INDEX_ROW])
+            for start in range(0, len(rows), MAX_INDEX_ROW_CLAIMS):
+                self._write_index(bucket, rows[start : start + MAX_INDEX_ROW_CLAIMS])
 
     def sweep(self) -> None:
         """Delete the claims of the oldest bucket that is past, if the lease is held."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
@@ -21,7 +21,7 @@
 from redwingscale_daemon._internal.store.row import ABSENT
 from redwingscale_daemon._internal.store.table import Table
 
-MOST_ENDINGS = 4096
+MAX_QUEUED_JOBS = 4096
 PAUSE_SECONDS = 0.5
 PATIENCE_SECONDS = 10.0
 
@@ -74,7 +74,7 @@
 
     def _add(self, job: Ending | _Withdrawal) -> None:
         with self._condition:
-            fits = len(self._jobs) < MOST_ENDINGS
+            fits = len(self._jobs) < MAX_QUEUED_JOBS
             if fits:
                 self._jobs.append(job)
                 self._condition.notify_all()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/plain.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/plain.py
@@ -26,7 +26,7 @@
 
 RETRY_AFTER_NO_UPSTREAM_SECONDS = 1.0
 RETRY_AFTER_FAILURE_SECONDS = 1.0
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 # How long a claimed call may go on past its caller's deadline, so that its
 # outcome is known to a repeat.
 FINISH_SECONDS = 60.0
@@ -105,7 +105,7 @@
     ) -> PlainMember | None:
         repeatable = request.idempotent or _run_state(failures) is RunState.NOT_RUN
         late = bool(failures) and time.monotonic() >= request.deadline_at
-        if not repeatable or late or len(failures) >= MOST_ATTEMPTS:
+        if not repeatable or late or len(failures) >= MAX_ATTEMPTS:
             return None
         member = self._choose(request, failures)
         # Taken last: what cannot be tried again must not use the budget up.
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/retry_budget.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/retry_budget.py
@@ -3,7 +3,7 @@
 import threading
 
 RETRIES_PER_SUCCESS = 0.1
-MOST_RETRIES = 100.0
+MAX_RETRIES = 100.0
 INITIAL_RETRIES = 10.0
 
 
@@ -21,7 +21,7 @@
     def succeeded(self) -> None:
         """Count a whole answer."""
         with self._lock:
-            self._retries = min(MOST_RETRIES, self._retries + RETRIES_PER_SUCCESS)
+            self._retries = min(MAX_RETRIES, self._retries + RETRIES_PER_SUCCESS)
 
     def take(self) -> bool:
         """Return whether one more attempt may be made, and count it."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -37,9 +37,9 @@
 Events = Generator[StreamEvent, None, None]
 
 RETRY_AFTER_SECONDS = 1.0
-MOST_ATTEMPTS = 8
-MOST_RESUMES = 32
-MOST_STALLED_RESUMES = 3
+MAX_ATTEMPTS = 8
+MAX_RESUMES = 32
+MAX_STALLED_RESUMES = 3
 LOSSES_WITHOUT_BUDGET = 2
 PAUSE_SECONDS = 0.05
 FIRST_PRIORITY = 0
@@ -151,7 +151,7 @@
         """Yield the answer of one attempt over as many connections as it takes."""
         connect: Callable[[], EngineStream] = partial(self._start, engine, attempt, headers)
         stalled = 0
-        for _ in range(MOST_RESUMES):
+        for _ in range(MAX_RESUMES):
             before = self._progress.position
             try:
                 yield from self._follow(connect())
@@ -174,7 +174,7 @@
         self, engine: EngineMember, attempt_id: str, headers: dict[str, str]
     ) -> EngineStream:
         position = self._progress.position
-        wait = self._parts.silence.most if position else self._first_token_wait()
+        wait = self._parts.silence.max_seconds if position else self._first_token_wait()
         return self._parts.client.resume(engine, attempt_id, position, headers, wait)
 
     def _follow(self, stream: EngineStream) -> Events:
@@ -195,7 +195,7 @@
             untimed -= 1
             if not untimed:
                 untimed = TOKENS_BETWEEN_TIMEOUTS
-                stream.set_timeout(silence.between_tokens(gap) if gap else silence.most)
+                stream.set_timeout(silence.between_tokens(gap) if gap else silence.max_seconds)
             if progress.position == clear_at:
                 self._clear_turn()
             yield event
@@ -211,7 +211,7 @@
             position=self._progress.position,
             error=error,
         )
-        if self._is_late() or stalled > MOST_STALLED_RESUMES:
+        if self._is_late() or stalled > MAX_STALLED_RESUMES:
             raise error
         silent = isinstance(error, StreamSilent)
         if stalled or silent:
@@ -271,7 +271,7 @@
     def _may_go_on(self, error: UpstreamError) -> bool:
         if self._state is not RunState.NOT_RUN and not self._request.idempotent:
             return False
-        if self._is_late() or self._attempts >= MOST_ATTEMPTS:
+        if self._is_late() or self._attempts >= MAX_ATTEMPTS:
             return False
         # The loss of one engine breaks many answers at once that had been going well;
         # each may continue. It cannot make a storm: a lost engine is met once.
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/silence.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/silence.py
@@ -10,8 +10,8 @@
 class SilenceBounds(NamedTuple):
     """Seconds: the least and the most that a stream may be silent."""
 
-    least: float
-    most: float
+    min_seconds: float
+    max_seconds: float
 
     def first_token(self, deadline_at: float) -> float:
         """Return the wait for a first token: it also covers queueing and prefill.
@@ -19,8 +19,8 @@
         Half of what is left, so that there is time for another attempt.
         """
         left = (deadline_at - time.monotonic()) * FIRST_TOKEN_SHARE
-        return max(self.least, left)
+        return max(self.min_seconds, left)
 
     def between_tokens(self, gap_seconds: float) -> float:
         """Return the wait that a mean gap between tokens calls for."""
-        return min(self.most, max(self.least, GAPS * gap_seconds))
+        return min(self.max_seconds, max(self.min_seconds, GAPS * gap_seconds))
--- a/packages/redwingscale-daemon/tests/unit/test_claims.py
+++ b/packages/redwingscale-daemon/tests/unit/test_claims.py
@@ -52,7 +52,7 @@
     def __init__(self, name, platform_url, plain_url, metrics):
         platform = connect_platform(PlatformSettings(platform_url, PLATFORM_TIMEOUT), name)
         self.table = platform.table
-        self.committer = Committer(platform.table, longest_pause_seconds=0.02)
+        self.committer = Committer(platform.table, max_pause_seconds=0.02)
         self.settler = Settler(self.committer, platform.table)
         self.now = time.time()
         self.retention = Retention(
