--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
@@ -34,7 +34,7 @@
 from redwingscale_daemon._internal.telemetry.metrics import Metrics
 
 MAX_CLAIM_TRIES = 4
-ENDING_PATIENCE_SECONDS = 0.25
+END_TIMEOUT_SECONDS = 0.25
 RETRY_AFTER_PLATFORM_SECONDS = 1.0
 RETRY_AFTER_UNFINISHED_SECONDS = 1.0
 RETRY_AFTER_UNKNOWN_SECONDS = 30.0
@@ -73,14 +73,14 @@
         self._remembered: OrderedDict[str, None] = OrderedDict()
         committer.on_orphaned(self._withdraw)
 
-    def open(self, key: ClaimKey, fingerprint: str, patience_seconds: float) -> Claimed | Answer:
+    def open(self, key: ClaimKey, fingerprint: str, timeout_seconds: float) -> Claimed | Answer:
         """Return the claim, or the answer kept for ``key``; raise `Refusal`.
 
         Nothing of the request may have been sent yet: every refusal for a
         claim that could not be made says that this sending was not run.
         """
         version = ABSENT
-        deadline = time.monotonic() + patience_seconds
+        deadline = time.monotonic() + timeout_seconds
         for _ in range(MAX_CLAIM_TRIES):
             write = RowWrite(key.row, version, self._open_claim(fingerprint))
             self._committer.submit(write)
@@ -123,7 +123,7 @@
             self._settler.add(ending)
             return
         self._committer.submit(write)
-        if not isinstance(write.wait(ENDING_PATIENCE_SECONDS), Written):
+        if not isinstance(write.wait(END_TIMEOUT_SECONDS), Written):
             self._settler.add(ending)
 
     def _done(self, claimed: Claimed, answer: Answer) -> Done:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/once.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/once.py
@@ -31,9 +31,9 @@
     repeat asks for it.
     """
 
-    def __init__(self, claims: Claims, claim_patience_seconds: float) -> None:
+    def __init__(self, claims: Claims, claim_timeout_seconds: float) -> None:
         self._claims = claims
-        self._claim_patience_seconds = claim_patience_seconds
+        self._claim_timeout_seconds = claim_timeout_seconds
         self._condition = threading.Condition()
         self._running = 0
 
@@ -81,8 +81,8 @@
 
     def _claim(self, key: ClaimKey, fingerprint: str, deadline_at: float) -> Claimed | Answer:
         remaining = deadline_at - time.monotonic()
-        patience = min(remaining, self._claim_patience_seconds)
-        claimed = self._claims.open(key, fingerprint, patience)
+        timeout = min(remaining, self._claim_timeout_seconds)
+        claimed = self._claims.open(key, fingerprint, timeout)
         if isinstance(claimed, Claimed) and time.monotonic() >= deadline_at:
             self._claims.release(claimed)
             raise Refusal(504, "deadline_past", "the deadline passed before it could be sent")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
@@ -23,7 +23,7 @@
 
 MAX_QUEUED_JOBS = 4096
 PAUSE_SECONDS = 0.5
-PATIENCE_SECONDS = 10.0
+WRITE_TIMEOUT_SECONDS = 10.0
 
 
 class Ending(NamedTuple):
@@ -132,4 +132,4 @@
     def _commit(self, row: str, version: int, claim: Claim) -> WriteResult | None:
         write = RowWrite(row, version, claim)
         self._committer.submit(write)
-        return write.wait(PATIENCE_SECONDS)
+        return write.wait(WRITE_TIMEOUT_SECONDS)
