--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claim.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claim.py
@@ -27,7 +27,7 @@
     @property
     def row(self) -> str:
         """The key of the claim's row; it gives the caller's key away to nobody."""
-        return CLAIM_PREFIX + sha256_hex(_lengthened(*self))
+        return CLAIM_PREFIX + sha256_hex(_length_prefixed(*self))
 
 
 class _Claim(msgspec.Struct, frozen=True, tag_field="state"):
@@ -67,9 +67,9 @@
 
 def request_fingerprint(method: str, path: str, body: bytes) -> str:
     """Digest what a repeat must have in common with the first sending."""
-    return sha256_hex(_lengthened(method, path, sha256_hex(body)))
+    return sha256_hex(_length_prefixed(method, path, sha256_hex(body)))
 
 
-def _lengthened(*parts: str) -> bytes:
+def _length_prefixed(*parts: str) -> bytes:
     # Lengths keep ("ab", "c") and ("a", "bc") apart.
     return "".join(f"{len(part)}:{part}" for part in parts).encode()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
@@ -70,7 +70,7 @@
         self._retention_seconds = retention_seconds
         self._metrics = metrics
         self._lock = threading.Lock()
-        self._remembered: OrderedDict[str, None] = OrderedDict()
+        self._claimed_rows: OrderedDict[str, None] = OrderedDict()
         committer.on_orphaned(self._withdraw)
 
     def open(self, key: ClaimKey, fingerprint: str, timeout_seconds: float) -> Claimed | Answer:
@@ -86,21 +86,23 @@
             self._committer.submit(write)
             match write.wait(max(0.0, deadline - time.monotonic())):
                 case Written(version=taken):
-                    return self._claimed(Claimed(key.row, taken, fingerprint))
+                    return self._note_claimed(Claimed(key.row, taken, fingerprint))
                 case WriteConflict(row=None):
                     version = ABSENT
                 case WriteConflict(row=Row() as row):
-                    claim = _same_request(self._parse(row), fingerprint)
+                    claim = _require_same_request(self._parse(row), fingerprint)
                     if not isinstance(claim, Released):
-                        return self._repeat(claim)
+                        return self._answer_repeat(claim)
                     version = row.version
                 case Failed() | None:
-                    raise self._unavailable(key.row)
-        raise self._refusal(409, "claim_unfinished", "other sendings of this key are under way")
+                    raise self._make_unavailable_refusal(key.row)
+        raise self._make_refusal(
+            409, "claim_unfinished", "other sendings of this key are under way"
+        )
 
-    def keep(self, claimed: Claimed, answer: Answer) -> None:
+    def complete(self, claimed: Claimed, answer: Answer) -> None:
         """Keep ``answer`` for repeats, at once or as soon as the platform takes it."""
-        self._end(Ending(claimed.row, claimed.version, lambda: self._done(claimed, answer)))
+        self._end(Ending(claimed.row, claimed.version, lambda: self._done_claim(claimed, answer)))
 
     def mark_unknown(self, claimed: Claimed) -> None:
         """Write that nobody will learn whether the request was run."""
@@ -110,7 +112,7 @@
     def release(self, claimed: Claimed) -> None:
         """Give the claim back: the request was not run and a repeat may run it."""
         with self._lock:
-            self._remembered.pop(claimed.row, None)
+            self._claimed_rows.pop(claimed.row, None)
         claim = Released(claimed.fingerprint, self._claimant, self._expires_at())
         self._end(Ending(claimed.row, claimed.version, lambda: claim))
 
@@ -126,9 +128,9 @@
         if not isinstance(write.wait(END_TIMEOUT_SECONDS), Written):
             self._settler.add(ending)
 
-    def _done(self, claimed: Claimed, answer: Answer) -> Done:
-        kept = self._outcomes.put(answer)
-        return Done(claimed.fingerprint, self._claimant, self._expires_at(), kept)
+    def _done_claim(self, claimed: Claimed, answer: Answer) -> Done:
+        stored = self._outcomes.put(answer)
+        return Done(claimed.fingerprint, self._claimant, self._expires_at(), stored)
 
     def _withdraw(self, write: RowWrite) -> None:
         # Only an open claim that nobody waits for is withdrawn: its request was
@@ -141,30 +143,32 @@
         try:
             return parse_claim(row.value)
         except msgspec.ValidationError as error:
-            raise self._refusal(409, "claim_unfinished", f"unreadable claim: {error}") from error
+            raise self._make_refusal(
+                409, "claim_unfinished", f"unreadable claim: {error}"
+            ) from error
 
-    def _claimed(self, claimed: Claimed) -> Claimed:
+    def _note_claimed(self, claimed: Claimed) -> Claimed:
         with self._lock:
-            self._remembered[claimed.row] = None
-            if len(self._remembered) > MAX_REMEMBERED_ROWS:
-                self._remembered.popitem(last=False)
+            self._claimed_rows[claimed.row] = None
+            if len(self._claimed_rows) > MAX_REMEMBERED_ROWS:
+                self._claimed_rows.popitem(last=False)
         self._retention.note(claimed.row, self._expires_at())
         self._metrics.claims.add(1, {"result": "claimed"})
         return claimed
 
-    def _repeat(self, claim: Done | Open | Unknown) -> Answer:
+    def _answer_repeat(self, claim: Done | Open | Unknown) -> Answer:
         match claim:
             case Done(outcome=outcome):
                 try:
                     answer = self._outcomes.get(outcome)
                 except PlatformError as error:
-                    raise self._refusal(
+                    raise self._make_refusal(
                         503, "outcome_unavailable", str(error), run=RunState.RUN
                     ) from error
                 self._metrics.claims.add(1, {"result": "replayed"})
                 return answer
             case Unknown():
-                raise self._refusal(
+                raise self._make_refusal(
                     409,
                     "outcome_unknown",
                     "an earlier sending with this key may have run; its outcome is lost",
@@ -173,18 +177,18 @@
             case Open(holder=holder):
                 # The holder may have died between the claim and the send or after
                 # it. Nobody can tell which, so nobody sends it again.
-                raise self._refusal(
+                raise self._make_refusal(
                     409, "claim_unfinished", f"an earlier sending is open at {holder.instance}"
                 )
 
-    def _unavailable(self, row: str) -> Refusal:
+    def _make_unavailable_refusal(self, row: str) -> Refusal:
         with self._lock:
-            sent_here = row in self._remembered
+            sent_here = row in self._claimed_rows
         if sent_here:
-            return self._refusal(
+            return self._make_refusal(
                 503, "claims_unavailable", "an earlier sending with this key may have run"
             )
-        return self._refusal(
+        return self._make_refusal(
             503,
             "claims_unavailable",
             "the platform's table does not answer, this sending was not run",
@@ -192,7 +196,7 @@
             retry_after_seconds=RETRY_AFTER_PLATFORM_SECONDS,
         )
 
-    def _refusal(
+    def _make_refusal(
         self,
         status: int,
         code: str,
@@ -212,7 +216,7 @@
         return int(time.time()) + self._retention_seconds
 
 
-def _same_request(claim: Claim, fingerprint: str) -> Claim:
+def _require_same_request(claim: Claim, fingerprint: str) -> Claim:
     if claim.fingerprint != fingerprint:
         raise Refusal(422, "idempotency_key_reused", "the key was first used with another request")
     return claim
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/once.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/once.py
@@ -17,7 +17,7 @@
 
 OK = 200
 TOKENS_TYPE = "application/json"
-RETRY_AFTER_LATE_SECONDS = 1.0
+RETRY_AFTER_DEADLINE_SECONDS = 1.0
 
 Send = Callable[[], Answer]
 Start = Callable[[], Iterator[StreamEvent]]
@@ -55,7 +55,7 @@
                 "deadline_exceeded",
                 "the call was sent and goes on; a repeat with its key gets the outcome",
                 run=RunState.UNKNOWN,
-                retry_after_seconds=RETRY_AFTER_LATE_SECONDS,
+                retry_after_seconds=RETRY_AFTER_DEADLINE_SECONDS,
             ) from None
 
     def stream(
@@ -64,13 +64,13 @@
         """Return the events of ``start`` or those kept; raise `Refusal`."""
         claimed = self._claim(key, fingerprint, deadline_at)
         if isinstance(claimed, Answer):
-            return _replayed(claimed)
+            return _replay_events(claimed)
         try:
             events = start()
         except BaseException as error:
             self._end_failed(claimed, error)
             raise
-        return self._recorded(claimed, events)
+        return self._record_events(claimed, events)
 
     def wait_until_idle(self, timeout_seconds: float) -> None:
         """Block until every request that was sent has ended, at most so long."""
@@ -97,10 +97,12 @@
             return
         # Kept before it is handed over: the caller may never see this answer, and
         # then its repeat must find it.
-        self._claims.keep(claimed, answer)
+        self._claims.complete(claimed, answer)
         future.set_result(answer)
 
-    def _recorded(self, claimed: Claimed, events: Iterator[StreamEvent]) -> Iterator[StreamEvent]:
+    def _record_events(
+        self, claimed: Claimed, events: Iterator[StreamEvent]
+    ) -> Iterator[StreamEvent]:
         texts: list[str] = []
         try:
             for event in events:
@@ -126,7 +128,7 @@
             case TokenEvent(text=text):
                 texts.append(text)
             case EndEvent():
-                self._claims.keep(claimed, Answer(OK, TOKENS_TYPE, msgspec.json.encode(texts)))
+                self._claims.complete(claimed, Answer(OK, TOKENS_TYPE, msgspec.json.encode(texts)))
 
     def _end_failed(self, claimed: Claimed, error: BaseException) -> None:
         if isinstance(error, Refusal) and error.run is RunState.NOT_RUN:
@@ -137,9 +139,9 @@
     def _spawn(self, work: Callable[[], None]) -> None:
         with self._condition:
             self._running += 1
-        threading.Thread(target=self._counted, args=(work,), name="once", daemon=True).start()
+        threading.Thread(target=self._run_counted, args=(work,), name="once", daemon=True).start()
 
-    def _counted(self, work: Callable[[], None]) -> None:
+    def _run_counted(self, work: Callable[[], None]) -> None:
         try:
             work()
         finally:
@@ -148,7 +150,7 @@
                 self._condition.notify_all()
 
 
-def _replayed(answer: Answer) -> Iterator[StreamEvent]:
+def _replay_events(answer: Answer) -> Iterator[StreamEvent]:
     texts = msgspec.json.decode(answer.body, type=list[str])
     for position, text in enumerate(texts):
         yield TokenEvent(position, text)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/outcome.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/outcome.py
@@ -53,11 +53,11 @@
         self._objects.put(key, answer.body)
         return InObject(answer.status, answer.content_type, key)
 
-    def get(self, kept: InRow | InObject) -> Answer:
+    def get(self, stored: InRow | InObject) -> Answer:
         """Return the answer; raise `PlatformUnavailable`."""
-        match kept:
+        match stored:
             case InRow():
-                return Answer(kept.status, kept.content_type, kept.body)
+                return Answer(stored.status, stored.content_type, stored.body)
             case InObject():
-                body = self._objects.get(kept.object_key)
-                return Answer(kept.status, kept.content_type, body)
+                body = self._objects.get(stored.object_key)
+                return Answer(stored.status, stored.content_type, body)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/retention.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/retention.py
@@ -18,7 +18,7 @@
 LEASE_NAME = "claim-sweep"
 BUCKET_SECONDS = 3600
 MAX_INDEX_ROW_CLAIMS = 200
-PAUSE_SECONDS = 1.0
+SWEEP_PAUSE_SECONDS = 1.0
 # The bucket that is running, and one for claims whose time started again when
 # their requests ended.
 GRACE_BUCKETS = 2
@@ -38,7 +38,7 @@
         table: Table,
         claimant: Claimant,
         may_sweep: Callable[[], bool],
-        pause_seconds: float = PAUSE_SECONDS,
+        pause_seconds: float = SWEEP_PAUSE_SECONDS,
         clock: Callable[[], float] = time.time,
     ) -> None:
         self._table = table
@@ -47,7 +47,7 @@
         self._pause_seconds = pause_seconds
         self._clock = clock
         self._lock = threading.Lock()
-        self._numbers = itertools.count()
+        self._index_numbers = itertools.count()
         self._rows_by_bucket: dict[int, list[str]] = defaultdict(list)
 
     def note(self, row: str, expires_at: int) -> None:
@@ -78,7 +78,7 @@
         log_event("claims_swept", bucket=bucket, deleted=deleted)
 
     def _write_index(self, bucket: int, rows: list[str]) -> None:
-        name = f"{self._claimant.instance}-{self._claimant.boot}-{next(self._numbers)}"
+        name = f"{self._claimant.instance}-{self._claimant.boot}-{next(self._index_numbers)}"
         key = f"{INDEX_PREFIX}{bucket}/{name}"
         try:
             self._table.put_if(key, rows, ABSENT)
@@ -96,28 +96,28 @@
             return 0
         claims = self._table.read(index.value)
         now = self._clock()
-        past: dict[str, Row] = {}
+        expired: dict[str, Row] = {}
         for name, row in claims.items():
             if row is None:
                 continue
             if row.value["expires_at"] < now:
-                past[name] = row
+                expired[name] = row
             else:
                 self.note(name, row.value["expires_at"])
-        self._delete(key, past)
+        self._delete(key, expired)
         time.sleep(self._pause_seconds)
-        return len(past)
+        return len(expired)
 
-    def _delete(self, index: str, past: dict[str, Row]) -> None:
+    def _delete(self, index: str, expired: dict[str, Row]) -> None:
         # The checks keep a claim that a repeat is taking just now. A lost reply
         # ends this sweep; the next one finds what is left.
         while True:
             transaction = Transaction(
                 new_write_id(),
-                checks=[Check(name, row.version) for name, row in past.items()],
-                deletes=[index, *past],
+                checks=[Check(name, row.version) for name, row in expired.items()],
+                deletes=[index, *expired],
             )
             outcome = self._table.commit(transaction)
             if isinstance(outcome, Committed):
                 return
-            past = {name: row for name, row in past.items() if name not in outcome.rows}
+            expired = {name: row for name, row in expired.items() if name not in outcome.rows}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
@@ -66,11 +66,11 @@
         """Wait until all is written, at most ``timeout_seconds``, and end."""
         with self._condition:
             self._condition.wait_for(lambda: not self._jobs, timeout_seconds)
-            lost = len(self._jobs)
+            unfinished = len(self._jobs)
             self._stopped = True
             self._condition.notify_all()
-        if lost:
-            log_event("claims_left_unfinished", level="WARNING", count=lost)
+        if unfinished:
+            log_event("claims_left_unfinished", level="WARNING", count=unfinished)
 
     def _add(self, job: Ending | _Withdrawal) -> None:
         with self._condition:
@@ -82,31 +82,31 @@
             log_event("claims_left_unfinished", level="WARNING", count=1)
 
     def _run(self) -> None:
-        while (job := self._first()) is not None:
-            if self._is_settled(job):
+        while (job := self._next_job()) is not None:
+            if self._process(job):
                 with self._condition:
                     self._jobs.popleft()
                     self._condition.notify_all()
             else:
                 time.sleep(PAUSE_SECONDS)
 
-    def _first(self) -> Ending | _Withdrawal | None:
+    def _next_job(self) -> Ending | _Withdrawal | None:
         with self._condition:
             self._condition.wait_for(lambda: self._jobs or self._stopped)
             return None if self._stopped else self._jobs[0]
 
-    def _is_settled(self, job: Ending | _Withdrawal) -> bool:
+    def _process(self, job: Ending | _Withdrawal) -> bool:
         try:
             match job:
                 case Ending():
-                    return self._ended(job)
+                    return self._write_ending(job)
                 case _Withdrawal():
-                    return self._withdrawn(job)
+                    return self._write_withdrawal(job)
         except (PlatformError, msgspec.MsgspecError) as error:
             log_event("claim_not_ended", level="WARNING", error=error)
             return False
 
-    def _withdrawn(self, job: _Withdrawal) -> bool:
+    def _write_withdrawal(self, job: _Withdrawal) -> bool:
         """Release the row if it is ours, or if our write may still come.
 
         While the row has the version that the write checks for (or is absent),
@@ -123,7 +123,7 @@
         # Beaten: the late write has come in between; the next try sees its row.
         return isinstance(result, Written)
 
-    def _ended(self, ending: Ending) -> bool:
+    def _write_ending(self, ending: Ending) -> bool:
         result = self._commit(ending.row, ending.version, ending.claim())
         # Beaten: an earlier try of this ending has taken effect after all; nobody
         # else writes the row of an open claim.
--- a/packages/redwingscale-daemon/tests/unit/test_claims.py
+++ b/packages/redwingscale-daemon/tests/unit/test_claims.py
@@ -329,7 +329,7 @@
 def test_batch_with_a_taken_key_still_claims_the_others(nodes):
     """One key of a batch is taken already: only that one is refused, the other
     claims of the same transaction are made."""
-    nodes[0].claims.keep(nodes[0].claims.open(KEY, "f", 5.0), Answer(200, "t", b"a"))
+    nodes[0].claims.complete(nodes[0].claims.open(KEY, "f", 5.0), Answer(200, "t", b"a"))
 
     def claim(number):
         key = ClaimKey("portal", "register", f"bid-{number}")
