--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
@@ -33,7 +33,7 @@
 # Twice the time in which peers hear of an entry (a link holds it back for up to 0.15 s):
 # of two claims at once, each side has then heard of the other's before it decides.
 SETTLE_SECONDS = 0.4
-EXPLAINED_SECONDS = 10.0
+ATTRIBUTION_SECONDS = 10.0
 # What the dead engine may have generated that never arrived. Few: an engine that dies by
 # itself during a turn condemns an innocent request, so turns are short.
 CLEARING_TOKENS = 2
@@ -62,7 +62,7 @@
         for stored in self._store.load():
             with self._changed:
                 if stored.fingerprint not in self._quarantined:
-                    self._keep(stored.fingerprint, stored.seconds, stored.died)
+                    self._keep(stored.fingerprint, stored.seconds, stored.crashed_engines)
 
     def check(self, fingerprint: str) -> None:
         """Raise the final `Refusal` when ``fingerprint`` is quarantined."""
@@ -78,7 +78,7 @@
     def is_suspect(self, fingerprint: str) -> bool:
         """Return whether an engine died under ``fingerprint`` and nothing cleared it yet."""
         with self._changed:
-            return bool(self._deaths_under(fingerprint))
+            return bool(self._crashes_of(fingerprint))
 
     def enter(
         self, fingerprint: str, engine: str, position: int, deadline_at: float
@@ -89,10 +89,10 @@
         """
         with self._changed:
             self.check(fingerprint)
-            died = self._deaths_under(fingerprint)
-            if not died:
+            crashed_engines = self._crashes_of(fingerprint)
+            if not crashed_engines:
                 return None
-            record = Record(fingerprint, Phase.WAITING, died, engine, position)
+            record = Record(fingerprint, Phase.WAITING, crashed_engines, engine, position)
             key = self._tell_new(record)
             if not self._wait(key, record, deadline_at):
                 return None
@@ -112,7 +112,7 @@
             if turn.key in self._records:
                 self._tell(turn.key, turn.record._replace(phase=Phase.SUSPECT))
 
-    def engine_died(self, fingerprint: str, engine: str, turn: Turn | None) -> None:
+    def note_crash(self, fingerprint: str, engine: str, turn: Turn | None) -> None:
         """Take the death of ``engine`` under a request; raise `Refusal` if it is the cause.
 
         Peers are told here, before the request can run again.
@@ -121,20 +121,24 @@
             self._forget_old()
             others = self._other_turns(fingerprint, engine)
             if turn is not None and turn.key in self._records:
-                self._end_turn(turn, engine, alone=not others)
-            elif not others and not self._is_explained(engine):
+                self._note_crash_in_turn(turn, engine, alone=not others)
+            elif not others and not self._is_attributed(engine):
                 log_event("suspect", level="WARNING", fingerprint=fingerprint, upstream=engine)
                 self._tell_new(Record(fingerprint, Phase.SUSPECT, (engine,)))
 
-    def _end_turn(self, turn: Turn, engine: str, *, alone: bool) -> None:
+    def _note_crash_in_turn(self, turn: Turn, engine: str, *, alone: bool) -> None:
         fingerprint = turn.record.fingerprint
-        died = tuple(dict.fromkeys((*turn.record.died, engine)))
+        crashed_engines = tuple(dict.fromkeys((*turn.record.crashed_engines, engine)))
         if not alone:
             # Only across a partition: neither side had heard of the other's turn.
-            self._tell(turn.key, turn.record._replace(phase=Phase.SUSPECT, died=died))
+            self._tell(
+                turn.key, turn.record._replace(phase=Phase.SUSPECT, crashed_engines=crashed_engines)
+            )
             return
-        log_event("quarantined", level="ERROR", fingerprint=fingerprint, died=",".join(died))
-        quarantine = StoredQuarantine(fingerprint, QUARANTINE_SECONDS, died)
+        log_event(
+            "quarantined", level="ERROR", fingerprint=fingerprint, died=",".join(crashed_engines)
+        )
+        quarantine = StoredQuarantine(fingerprint, QUARANTINE_SECONDS, crashed_engines)
         # By a key of its own: a slot that is used again at once would replace it
         # while a link still holds it back.
         self._gossip.publish(QUARANTINE_TOPIC, fingerprint, quarantine)
@@ -179,20 +183,22 @@
             and record.fingerprint != fingerprint
         ]
 
-    def _deaths_under(self, fingerprint: str) -> tuple[str, ...]:
+    def _crashes_of(self, fingerprint: str) -> tuple[str, ...]:
         oldest = time.monotonic() - SUSPICION_SECONDS
-        deaths = [
-            seen.record.died
+        crashes = [
+            seen.record.crashed_engines
             for seen in self._records.values()
             if seen.record.fingerprint == fingerprint
             and seen.record.phase in OPEN_PHASES
             and seen.seen_at > oldest
         ]
-        return tuple(dict.fromkeys(itertools.chain.from_iterable(deaths)))
+        return tuple(dict.fromkeys(itertools.chain.from_iterable(crashes)))
 
-    def _is_explained(self, engine: str) -> bool:
-        latest = time.monotonic() + QUARANTINE_SECONDS - EXPLAINED_SECONDS
-        return any(engine in q.died and q.until > latest for q in self._quarantined.values())
+    def _is_attributed(self, engine: str) -> bool:
+        latest = time.monotonic() + QUARANTINE_SECONDS - ATTRIBUTION_SECONDS
+        return any(
+            engine in q.crashed_engines and q.until > latest for q in self._quarantined.values()
+        )
 
     def _tell_new(self, record: Record) -> RecordKey:
         slots = (RecordKey(self._instance, slot) for slot in itertools.count())
@@ -219,13 +225,15 @@
     def _on_quarantine(self, entry: Entry) -> None:
         told = msgspec.msgpack.decode(entry.payload, type=StoredQuarantine)
         with self._changed:
-            self._keep(told.fingerprint, told.seconds, told.died)
+            self._keep(told.fingerprint, told.seconds, told.crashed_engines)
 
-    def _keep(self, fingerprint: str, seconds: float, died: tuple[str, ...]) -> None:
-        self._quarantined[fingerprint] = Quarantined(time.monotonic() + seconds, died)
+    def _keep(self, fingerprint: str, seconds: float, crashed_engines: tuple[str, ...]) -> None:
+        self._quarantined[fingerprint] = Quarantined(time.monotonic() + seconds, crashed_engines)
         # Whoever was suspect for these deaths alone is suspect no longer.
-        explained = set(died)
-        self._drop(lambda r: r.fingerprint == fingerprint or explained.issuperset(r.died))
+        attributed = set(crashed_engines)
+        self._drop(
+            lambda r: r.fingerprint == fingerprint or attributed.issuperset(r.crashed_engines)
+        )
         self._changed.notify_all()
 
     def _drop(self, is_settled: Callable[[Record], bool]) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/record.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/record.py
@@ -26,7 +26,7 @@
 
     fingerprint: str
     phase: Phase
-    died: tuple[str, ...]
+    crashed_engines: tuple[str, ...]
     target: str = ""
     position: int = 0
 
@@ -61,4 +61,4 @@
     """A request that is refused until ``until``, on the monotonic clock."""
 
     until: float
-    died: tuple[str, ...]
+    crashed_engines: tuple[str, ...]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/store.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/store.py
@@ -22,7 +22,7 @@
 
     fingerprint: str
     seconds: float
-    died: tuple[str, ...]
+    crashed_engines: tuple[str, ...]
 
 
 class QuarantineStore:
@@ -51,7 +51,10 @@
                 self._delete(key, row.version)
 
     def _keep(self, quarantine: StoredQuarantine) -> None:
-        value = {"expires_at": time.time() + quarantine.seconds, "died": list(quarantine.died)}
+        value = {
+            "expires_at": time.time() + quarantine.seconds,
+            "died": list(quarantine.crashed_engines),
+        }
         put = Put(PREFIX + quarantine.fingerprint, value)
         try:
             self._table.commit(Transaction(new_write_id(), puts=[put]))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -40,7 +40,7 @@
 MAX_ATTEMPTS = 8
 MAX_RESUMES = 32
 MAX_STALLED_RESUMES = 3
-LOSSES_WITHOUT_BUDGET = 2
+MAX_LOST_ENGINES_WITHOUT_BUDGET = 2
 PAUSE_SECONDS = 0.05
 FIRST_PRIORITY = 0
 ENGINE_POLL_SECONDS = 0.1
@@ -57,7 +57,7 @@
         self._parts = parts
         self._progress = Progress()
         self._attempts = 0
-        self._losses = 0
+        self._lost_engines = 0
         self._unit = request.unit
         self._failed: set[str] = set()
         self._state = RunState.NOT_RUN
@@ -159,7 +159,7 @@
             except StreamBroken as broken:
                 error = broken
             except AttemptUnknown as unknown:
-                raise self._death_or(unknown, engine) from unknown
+                raise self._classify_unknown_attempt(unknown, engine) from unknown
             stalled = 0 if self._progress.position > before else stalled + 1
             self._check_resume(engine, error, stalled)
             connect = partial(self._resume, engine, attempt.attempt_id, headers)
@@ -230,7 +230,9 @@
             case Probe.NO_ANSWER:
                 raise UpstreamUnreachable(engine.id, error.detail, run=RunState.UNKNOWN)
 
-    def _death_or(self, error: AttemptUnknown, engine: EngineMember) -> UpstreamError:
+    def _classify_unknown_attempt(
+        self, error: AttemptUnknown, engine: EngineMember
+    ) -> UpstreamError:
         """Return the death of an engine that was started anew, else ``error``.
 
         An engine that merely never heard of the attempt still holds its models;
@@ -253,7 +255,7 @@
             self._parts.reachability.note_unreachable(engine.id)
         if isinstance(error, UpstreamCrashed):
             turn, self._turn = self._turn, None
-            self._parts.quarantine.engine_died(self._request.fingerprint, engine.id, turn)
+            self._parts.quarantine.note_crash(self._request.fingerprint, engine.id, turn)
         again = self._may_go_on(error)
         log_event(
             "attempt_failed",
@@ -276,8 +278,8 @@
         # The loss of one engine breaks many answers at once that had been going well;
         # each may continue. It cannot make a storm: a lost engine is met once.
         lost = isinstance(error, UpstreamCrashed | UpstreamUnreachable)
-        if lost and self._losses < LOSSES_WITHOUT_BUDGET:
-            self._losses += 1
+        if lost and self._lost_engines < MAX_LOST_ENGINES_WITHOUT_BUDGET:
+            self._lost_engines += 1
             return True
         if self._progress.position and error.run is RunState.NOT_RUN:
             time.sleep(PAUSE_SECONDS * self._attempts)
--- a/packages/redwingscale-daemon/tests/unit/relay/test_quarantine.py
+++ b/packages/redwingscale-daemon/tests/unit/relay/test_quarantine.py
@@ -117,8 +117,8 @@
     The second waits until the first has shown that it is not the cause.
     """
     first, second = make_quarantines(2)
-    first.engine_died("a", "engine-0", None)
-    second.engine_died("b", "engine-0", None)
+    first.note_crash("a", "engine-0", None)
+    second.note_crash("b", "engine-0", None)
     turn = first.enter("a", "engine-1", 0, _later())
 
     with ThreadPoolExecutor(1) as pool:
@@ -136,13 +136,13 @@
     It may not run there as well: it could kill two engines at once.
     """
     first, second = make_quarantines(2)
-    first.engine_died("a", "engine-0", None)
+    first.note_crash("a", "engine-0", None)
     turn = first.enter("a", "engine-1", 0, _later())
 
     with ThreadPoolExecutor(1) as pool:
         copy = pool.submit(second.enter, "a", "engine-2", 0, _later())
         with pytest.raises(Refusal):
-            first.engine_died("a", "engine-1", turn)
+            first.note_crash("a", "engine-1", turn)
         with pytest.raises(Refusal) as caught:
             copy.result(30.0)
 
@@ -152,15 +152,15 @@
 def test_cause_that_is_found_frees_the_others(make_quarantines):
     """Once the request that killed both engines is known, the rest need no turns."""
     first, second = make_quarantines(2)
-    second.engine_died("bystander", "engine-0", None)
-    first.engine_died("a", "engine-0", None)
+    second.note_crash("bystander", "engine-0", None)
+    first.note_crash("a", "engine-0", None)
     turn = first.enter("a", "engine-1", 0, _later())
     with pytest.raises(Refusal):
-        first.engine_died("a", "engine-1", turn)
+        first.note_crash("a", "engine-1", turn)
     while second.is_suspect("bystander"):
         time.sleep(0.01)
 
-    second.engine_died("beside", "engine-1", None)
+    second.note_crash("beside", "engine-1", None)
 
     assert not second.is_suspect("beside")
     assert second.enter("bystander", "engine-2", 0, _later()) is None
@@ -169,7 +169,7 @@
 def test_turn_that_does_not_come_by_the_deadline_is_refused(make_quarantines):
     """A suspect whose deadline passes in the queue gets its answer at the deadline."""
     [quarantine] = make_quarantines(1)
-    quarantine.engine_died("a", "engine-0", None)
+    quarantine.note_crash("a", "engine-0", None)
 
     with pytest.raises(Refusal) as caught:
         quarantine.enter("a", "engine-1", 0, time.monotonic())
