--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
@@ -13,8 +13,8 @@
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.models.run_state import RunState
 from redwingscale_daemon._internal.quarantine.record import (
-    CLAIM_PHASES,
-    OPEN_PHASES,
+    SUSPECT_PHASES,
+    TURN_PHASES,
     Phase,
     Quarantined,
     Record,
@@ -24,12 +24,12 @@
 )
 from redwingscale_daemon._internal.quarantine.store import QuarantineStore, StoredQuarantine
 
-TOPIC = "suspect"
+SUSPECT_TOPIC = "suspect"
 QUARANTINE_TOPIC = "quarantine"
 QUARANTINE_SECONDS = 3600.0
 SUSPICION_SECONDS = 300.0
 # A claim that is older is one of an instance that has ended.
-CLAIM_SECONDS = 15.0
+MAX_TURN_SECONDS = 15.0
 # Twice the time in which peers hear of an entry (a link holds it back for up to 0.15 s):
 # of two claims at once, each side has then heard of the other's before it decides.
 SETTLE_SECONDS = 0.4
@@ -54,7 +54,7 @@
         self._store = store
         self._records: dict[RecordKey, SeenRecord] = {}
         self._quarantined: dict[str, Quarantined] = {}
-        gossip.subscribe(TOPIC, self._on_entry)
+        gossip.subscribe(SUSPECT_TOPIC, self._on_entry)
         gossip.subscribe(QUARANTINE_TOPIC, self._on_quarantine)
 
     def refresh(self) -> None:
@@ -62,7 +62,7 @@
         for stored in self._store.load():
             with self._changed:
                 if stored.fingerprint not in self._quarantined:
-                    self._keep(stored.fingerprint, stored.seconds, stored.crashed_engines)
+                    self._add_quarantine(stored.fingerprint, stored.seconds, stored.crashed_engines)
 
     def check(self, fingerprint: str) -> None:
         """Raise the final `Refusal` when ``fingerprint`` is quarantined."""
@@ -70,9 +70,9 @@
             quarantined = self._quarantined.get(fingerprint)
             if quarantined is None:
                 return
-            left = quarantined.until - time.monotonic()
+            left = quarantined.expires_at - time.monotonic()
             if left > 0:
-                raise _refusal(left)
+                raise _quarantine_refusal(left)
             del self._quarantined[fingerprint]
 
     def is_suspect(self, fingerprint: str) -> bool:
@@ -80,7 +80,7 @@
         with self._changed:
             return bool(self._crashes_of(fingerprint))
 
-    def enter(
+    def wait_for_turn(
         self, fingerprint: str, engine: str, position: int, deadline_at: float
     ) -> Turn | None:
         """Return None at once for a request that is no suspect, else wait for its turn.
@@ -93,24 +93,24 @@
             if not crashed_engines:
                 return None
             record = Record(fingerprint, Phase.WAITING, crashed_engines, engine, position)
-            key = self._tell_new(record)
-            if not self._wait(key, record, deadline_at):
+            key = self._publish_new(record)
+            if not self._await_turn(key, record, deadline_at):
                 return None
             record = record._replace(phase=Phase.RUNNING)
-            self._tell(key, record)
+            self._publish(key, record)
             return Turn(key, record, position + CLEARING_TOKENS)
 
     def clear(self, turn: Turn) -> None:
         """End a turn: the request has run past the place where its engine died."""
         with self._changed:
             if turn.key in self._records:
-                self._tell(turn.key, turn.record._replace(phase=Phase.CLEARED))
+                self._publish(turn.key, turn.record._replace(phase=Phase.CLEARED))
 
     def release(self, turn: Turn) -> None:
         """End a turn that has shown nothing; the request stays suspect."""
         with self._changed:
             if turn.key in self._records:
-                self._tell(turn.key, turn.record._replace(phase=Phase.SUSPECT))
+                self._publish(turn.key, turn.record._replace(phase=Phase.SUSPECT))
 
     def note_crash(self, fingerprint: str, engine: str, turn: Turn | None) -> None:
         """Take the death of ``engine`` under a request; raise `Refusal` if it is the cause.
@@ -119,19 +119,19 @@
         """
         with self._changed:
             self._forget_old()
-            others = self._other_turns(fingerprint, engine)
+            others = self._concurrent_turns(fingerprint, engine)
             if turn is not None and turn.key in self._records:
                 self._note_crash_in_turn(turn, engine, alone=not others)
             elif not others and not self._is_attributed(engine):
                 log_event("suspect", level="WARNING", fingerprint=fingerprint, upstream=engine)
-                self._tell_new(Record(fingerprint, Phase.SUSPECT, (engine,)))
+                self._publish_new(Record(fingerprint, Phase.SUSPECT, (engine,)))
 
     def _note_crash_in_turn(self, turn: Turn, engine: str, *, alone: bool) -> None:
         fingerprint = turn.record.fingerprint
         crashed_engines = tuple(dict.fromkeys((*turn.record.crashed_engines, engine)))
         if not alone:
             # Only across a partition: neither side had heard of the other's turn.
-            self._tell(
+            self._publish(
                 turn.key, turn.record._replace(phase=Phase.SUSPECT, crashed_engines=crashed_engines)
             )
             return
@@ -142,17 +142,17 @@
         # By a key of its own: a slot that is used again at once would replace it
         # while a link still holds it back.
         self._gossip.publish(QUARANTINE_TOPIC, fingerprint, quarantine)
-        self._store.keep(quarantine)
-        raise _refusal(QUARANTINE_SECONDS)
+        self._store.save(quarantine)
+        raise _quarantine_refusal(QUARANTINE_SECONDS)
 
-    def _wait(self, key: RecordKey, record: Record, deadline_at: float) -> bool:
+    def _await_turn(self, key: RecordKey, record: Record, deadline_at: float) -> bool:
         """Return whether the turn came; False when the suspicion fell instead."""
         settled_at = time.monotonic() + SETTLE_SECONDS
         while key in self._records:
             now = time.monotonic()
             if now >= deadline_at:
-                self._tell(key, record._replace(phase=Phase.SUSPECT))
-                raise _late_refusal()
+                self._publish(key, record._replace(phase=Phase.SUSPECT))
+                raise _deadline_refusal()
             if now >= settled_at and self._may_run(key, record):
                 return True
             self._changed.wait(min(SETTLE_SECONDS, deadline_at - now))
@@ -163,21 +163,21 @@
         rank = _rank(key, record)
         return not any(
             other.phase is Phase.RUNNING or _rank(other_key, other) < rank
-            for other_key, other in self._claims()
+            for other_key, other in self._turn_records()
             if other_key != key
             and (other.target == record.target or other.fingerprint == record.fingerprint)
         )
 
-    def _claims(self) -> Iterator[tuple[RecordKey, Record]]:
-        oldest = time.monotonic() - CLAIM_SECONDS
+    def _turn_records(self) -> Iterator[tuple[RecordKey, Record]]:
+        oldest = time.monotonic() - MAX_TURN_SECONDS
         for key, seen in self._records.items():
-            if seen.record.phase in CLAIM_PHASES and seen.seen_at > oldest:
+            if seen.record.phase in TURN_PHASES and seen.seen_at > oldest:
                 yield key, seen.record
 
-    def _other_turns(self, fingerprint: str, engine: str) -> list[Record]:
+    def _concurrent_turns(self, fingerprint: str, engine: str) -> list[Record]:
         return [
             record
-            for _, record in self._claims()
+            for _, record in self._turn_records()
             if record.phase is Phase.RUNNING
             and record.target == engine
             and record.fingerprint != fingerprint
@@ -189,7 +189,7 @@
             seen.record.crashed_engines
             for seen in self._records.values()
             if seen.record.fingerprint == fingerprint
-            and seen.record.phase in OPEN_PHASES
+            and seen.record.phase in SUSPECT_PHASES
             and seen.seen_at > oldest
         ]
         return tuple(dict.fromkeys(itertools.chain.from_iterable(crashes)))
@@ -197,18 +197,19 @@
     def _is_attributed(self, engine: str) -> bool:
         latest = time.monotonic() + QUARANTINE_SECONDS - ATTRIBUTION_SECONDS
         return any(
-            engine in q.crashed_engines and q.until > latest for q in self._quarantined.values()
+            engine in q.crashed_engines and q.expires_at > latest
+            for q in self._quarantined.values()
         )
 
-    def _tell_new(self, record: Record) -> RecordKey:
+    def _publish_new(self, record: Record) -> RecordKey:
         slots = (RecordKey(self._instance, slot) for slot in itertools.count())
         key = next(key for key in slots if key not in self._records)
-        self._tell(key, record)
+        self._publish(key, record)
         return key
 
-    def _tell(self, key: RecordKey, record: Record) -> None:
+    def _publish(self, key: RecordKey, record: Record) -> None:
         # The board calls `_on_entry` also with what this instance publishes.
-        self._gossip.publish(TOPIC, str(key.slot), record)
+        self._gossip.publish(SUSPECT_TOPIC, str(key.slot), record)
 
     def _on_entry(self, entry: Entry) -> None:
         record = msgspec.msgpack.decode(entry.payload, type=Record)
@@ -223,11 +224,13 @@
             self._changed.notify_all()
 
     def _on_quarantine(self, entry: Entry) -> None:
-        told = msgspec.msgpack.decode(entry.payload, type=StoredQuarantine)
+        received = msgspec.msgpack.decode(entry.payload, type=StoredQuarantine)
         with self._changed:
-            self._keep(told.fingerprint, told.seconds, told.crashed_engines)
+            self._add_quarantine(received.fingerprint, received.seconds, received.crashed_engines)
 
-    def _keep(self, fingerprint: str, seconds: float, crashed_engines: tuple[str, ...]) -> None:
+    def _add_quarantine(
+        self, fingerprint: str, seconds: float, crashed_engines: tuple[str, ...]
+    ) -> None:
         self._quarantined[fingerprint] = Quarantined(time.monotonic() + seconds, crashed_engines)
         # Whoever was suspect for these deaths alone is suspect no longer.
         attributed = set(crashed_engines)
@@ -244,9 +247,9 @@
         self._records = {
             key: seen
             for key, seen in self._records.items()
-            if seen.record.phase in CLAIM_PHASES or seen.seen_at > now - SUSPICION_SECONDS
+            if seen.record.phase in TURN_PHASES or seen.seen_at > now - SUSPICION_SECONDS
         }
-        self._quarantined = {f: q for f, q in self._quarantined.items() if q.until > now}
+        self._quarantined = {f: q for f, q in self._quarantined.items() if q.expires_at > now}
 
 
 def _rank(key: RecordKey, record: Record) -> tuple[int, str, RecordKey]:
@@ -254,7 +257,7 @@
     return record.position, record.fingerprint, key
 
 
-def _refusal(seconds: float) -> Refusal:
+def _quarantine_refusal(seconds: float) -> Refusal:
     return Refusal(
         422,
         "quarantined",
@@ -264,7 +267,7 @@
     )
 
 
-def _late_refusal() -> Refusal:
+def _deadline_refusal() -> Refusal:
     return Refusal(
         503,
         "suspect",
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/record.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/record.py
@@ -13,8 +13,8 @@
     CLEARED = 4
 
 
-OPEN_PHASES = frozenset({Phase.SUSPECT, Phase.WAITING, Phase.RUNNING})
-CLAIM_PHASES = frozenset({Phase.WAITING, Phase.RUNNING})
+SUSPECT_PHASES = frozenset({Phase.SUSPECT, Phase.WAITING, Phase.RUNNING})
+TURN_PHASES = frozenset({Phase.WAITING, Phase.RUNNING})
 
 
 class Record(NamedTuple):
@@ -60,5 +60,5 @@
 class Quarantined(NamedTuple):
     """A request that is refused until ``until``, on the monotonic clock."""
 
-    until: float
+    expires_at: float
     crashed_engines: tuple[str, ...]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/store.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/store.py
@@ -35,9 +35,9 @@
     def __init__(self, table: Table) -> None:
         self._table = table
 
-    def keep(self, quarantine: StoredQuarantine) -> None:
+    def save(self, quarantine: StoredQuarantine) -> None:
         """Write a row in the background: no request waits for the platform."""
-        threading.Thread(target=self._keep, args=(quarantine,), daemon=True).start()
+        threading.Thread(target=self._write, args=(quarantine,), daemon=True).start()
 
     def load(self) -> Iterator[StoredQuarantine]:
         """Yield the rows that hold and delete the others; raise `PlatformError`."""
@@ -50,7 +50,7 @@
             else:
                 self._delete(key, row.version)
 
-    def _keep(self, quarantine: StoredQuarantine) -> None:
+    def _write(self, quarantine: StoredQuarantine) -> None:
         value = {
             "expires_at": time.time() + quarantine.seconds,
             "died": list(quarantine.crashed_engines),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -68,7 +68,7 @@
         """Yield the whole answer; raise `Refusal` when nothing can continue it."""
         self._parts.quarantine.check(self._request.fingerprint)
         while True:
-            engine = self._enter_engine()
+            engine = self._acquire_engine()
             try:
                 yield from self._attempt(engine)
             except UpstreamError as error:
@@ -78,22 +78,22 @@
                 self._parts.metrics.tokens.add(self._progress.position)
                 return
             finally:
-                self._leave_turn()
+                self._release_turn()
 
-    def _enter_engine(self) -> EngineMember:
+    def _acquire_engine(self) -> EngineMember:
         """Return the engine of the next attempt; a suspect has its turn there."""
         request, parts = self._request, self._parts
         while True:
             engine = self._choose_engine()
-            self._turn = parts.quarantine.enter(
+            self._turn = parts.quarantine.wait_for_turn(
                 request.fingerprint, engine.id, self._progress.position, request.deadline_at
             )
             if self._turn is None or engine.id not in parts.reachability.unreachable():
                 return engine
             # It died while the turn was awaited.
-            self._leave_turn()
+            self._release_turn()
 
-    def _leave_turn(self) -> None:
+    def _release_turn(self) -> None:
         turn, self._turn = self._turn, None
         if turn is not None:
             self._parts.quarantine.release(turn)
@@ -111,7 +111,7 @@
             time.sleep(ENGINE_POLL_SECONDS)
             engine = self._candidate()
         if engine is None:
-            raise self._refusal("not_resident", f"no engine can run {self._request.unit} now")
+            raise self._new_refusal("not_resident", f"no engine can run {self._request.unit} now")
         return engine
 
     def _candidate(self) -> EngineMember | None:
@@ -267,7 +267,7 @@
             error=error,
         )
         if not again:
-            raise self._refusal("upstream_failed", str(error)) from error
+            raise self._new_refusal("upstream_failed", str(error)) from error
         self._parts.metrics.retries.add(1)
 
     def _may_go_on(self, error: UpstreamError) -> bool:
@@ -311,5 +311,5 @@
     def _is_late(self) -> bool:
         return time.monotonic() >= self._request.deadline_at
 
-    def _refusal(self, code: str, detail: str) -> Refusal:
+    def _new_refusal(self, code: str, detail: str) -> Refusal:
         return Refusal(503, code, detail, run=self._state, retry_after_seconds=RETRY_AFTER_SECONDS)
--- a/packages/redwingscale-daemon/tests/unit/relay/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/relay/conftest.py
@@ -70,10 +70,10 @@
     """Keeps nothing, as while the platform is down."""
 
     def __init__(self) -> None:
-        self.kept: list[str] = []
+        self.saved: list[str] = []
 
-    def keep(self, quarantine: StoredQuarantine) -> None:
-        self.kept.append(quarantine.fingerprint)
+    def save(self, quarantine: StoredQuarantine) -> None:
+        self.saved.append(quarantine.fingerprint)
 
 
 class EngineProcess(NamedTuple):
--- a/packages/redwingscale-daemon/tests/unit/relay/test_quarantine.py
+++ b/packages/redwingscale-daemon/tests/unit/relay/test_quarantine.py
@@ -108,7 +108,7 @@
 
     text_of(relay.run(new_request("lot 1", 10), INVALID_SPAN))
 
-    assert quarantine.enter("lot 1", "engine-0", 0, _later()) is None
+    assert quarantine.wait_for_turn("lot 1", "engine-0", 0, _later()) is None
 
 
 def test_two_suspects_never_run_on_one_engine_at_once(make_quarantines):
@@ -119,11 +119,11 @@
     first, second = make_quarantines(2)
     first.note_crash("a", "engine-0", None)
     second.note_crash("b", "engine-0", None)
-    turn = first.enter("a", "engine-1", 0, _later())
+    turn = first.wait_for_turn("a", "engine-1", 0, _later())
 
     with ThreadPoolExecutor(1) as pool:
-        other = pool.submit(second.enter, "b", "engine-1", 0, _later())
-        elsewhere = second.enter("c", "engine-1", 0, _later())
+        other = pool.submit(second.wait_for_turn, "b", "engine-1", 0, _later())
+        elsewhere = second.wait_for_turn("c", "engine-1", 0, _later())
         assert elsewhere is None
         assert not other.done()
         first.clear(turn)
@@ -137,10 +137,10 @@
     """
     first, second = make_quarantines(2)
     first.note_crash("a", "engine-0", None)
-    turn = first.enter("a", "engine-1", 0, _later())
+    turn = first.wait_for_turn("a", "engine-1", 0, _later())
 
     with ThreadPoolExecutor(1) as pool:
-        copy = pool.submit(second.enter, "a", "engine-2", 0, _later())
+        copy = pool.submit(second.wait_for_turn, "a", "engine-2", 0, _later())
         with pytest.raises(Refusal):
             first.note_crash("a", "engine-1", turn)
         with pytest.raises(Refusal) as caught:
@@ -154,7 +154,7 @@
     first, second = make_quarantines(2)
     second.note_crash("bystander", "engine-0", None)
     first.note_crash("a", "engine-0", None)
-    turn = first.enter("a", "engine-1", 0, _later())
+    turn = first.wait_for_turn("a", "engine-1", 0, _later())
     with pytest.raises(Refusal):
         first.note_crash("a", "engine-1", turn)
     while second.is_suspect("bystander"):
@@ -163,7 +163,7 @@
     second.note_crash("beside", "engine-1", None)
 
     assert not second.is_suspect("beside")
-    assert second.enter("bystander", "engine-2", 0, _later()) is None
+    assert second.wait_for_turn("bystander", "engine-2", 0, _later()) is None
 
 
 def test_turn_that_does_not_come_by_the_deadline_is_refused(make_quarantines):
@@ -172,6 +172,6 @@
     quarantine.note_crash("a", "engine-0", None)
 
     with pytest.raises(Refusal) as caught:
-        quarantine.enter("a", "engine-1", 0, time.monotonic())
+        quarantine.wait_for_turn("a", "engine-1", 0, time.monotonic())
 
     assert caught.value.code == "suspect"
