--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/generation.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/generation.py
@@ -36,10 +36,12 @@
         events = GenerationRun(request, span, self._parts).events()
         first = next(events)
         self._parts.metrics.first_token.record(time.monotonic() - started)
-        return _until_left(request, first, events)
+        return _relay_until_disconnect(request, first, events)
 
 
-def _until_left(request: GenerationRequest, first: StreamEvent, events: Events) -> Events:
+def _relay_until_disconnect(
+    request: GenerationRequest, first: StreamEvent, events: Events
+) -> Events:
     # No `yield from`: closing this generator would close ``events`` with it, and a
     # request that must not run twice has to be let finish.
     try:
@@ -51,11 +53,11 @@
         raise
     except GeneratorExit:
         log_event("caller_left", request=request.request_id, idempotent=request.idempotent)
-        _leave(request, events)
+        _handle_disconnect(request, events)
         raise
 
 
-def _leave(request: GenerationRequest, events: Events) -> None:
+def _handle_disconnect(request: GenerationRequest, events: Events) -> None:
     if request.idempotent:
         events.close()
         return
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/plain.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/plain.py
@@ -29,7 +29,7 @@
 MAX_ATTEMPTS = 3
 # How long a claimed call may go on past its caller's deadline, so that its
 # outcome is known to a repeat.
-FINISH_SECONDS = 60.0
+CLAIMED_GRACE_SECONDS = 60.0
 
 
 class PlainRequest(NamedTuple):
@@ -76,7 +76,7 @@
             return self._send(request, span, grace_seconds=0.0)
         # Without an upstream no claim is made: it would only be released again.
         if self._choose(request, []) is None:
-            raise _no_upstream(request)
+            raise _no_upstream_refusal(request)
         key = ClaimKey(request.caller, request.service, request.idempotency_key)
         fingerprint = request_fingerprint(request.method, request.path, request.body)
         answer = self._once.call(
@@ -85,7 +85,7 @@
         return PlainAnswer(*answer)
 
     def _answer(self, request: PlainRequest, span: Span) -> Answer:
-        return Answer(*self._send(request, span, grace_seconds=FINISH_SECONDS))
+        return Answer(*self._send(request, span, grace_seconds=CLAIMED_GRACE_SECONDS))
 
     def _send(self, request: PlainRequest, span: Span, *, grace_seconds: float) -> PlainAnswer:
         """Send to one upstream after another for as long as the request allows it."""
@@ -96,14 +96,14 @@
             except UpstreamError as error:
                 failures.append(error)
                 continue
-            self._budget.succeeded()
+            self._budget.note_success()
             return answer
-        raise _failed(request, failures) if failures else _no_upstream(request)
+        raise _failure_refusal(request, failures) if failures else _no_upstream_refusal(request)
 
     def _next_member(
         self, request: PlainRequest, failures: list[UpstreamError]
     ) -> PlainMember | None:
-        repeatable = request.idempotent or _run_state(failures) is RunState.NOT_RUN
+        repeatable = request.idempotent or _combined_run_state(failures) is RunState.NOT_RUN
         late = bool(failures) and time.monotonic() >= request.deadline_at
         if not repeatable or late or len(failures) >= MAX_ATTEMPTS:
             return None
@@ -136,14 +136,14 @@
             return self._client.call(member, call, remaining)
 
 
-def _run_state(failures: list[UpstreamError]) -> RunState:
+def _combined_run_state(failures: list[UpstreamError]) -> RunState:
     """Return what is certain after all of ``failures``."""
     certain = all(error.run is RunState.NOT_RUN for error in failures)
     return RunState.NOT_RUN if certain else RunState.UNKNOWN
 
 
-def _failed(request: PlainRequest, failures: list[UpstreamError]) -> Refusal:
-    run = _run_state(failures)
+def _failure_refusal(request: PlainRequest, failures: list[UpstreamError]) -> Refusal:
+    run = _combined_run_state(failures)
     # To come back with a call that may have run would run it twice.
     repeatable = request.idempotent or run is RunState.NOT_RUN
     return Refusal(
@@ -155,7 +155,7 @@
     )
 
 
-def _no_upstream(request: PlainRequest) -> Refusal:
+def _no_upstream_refusal(request: PlainRequest) -> Refusal:
     return Refusal(
         503,
         "no_upstream",
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/retry_budget.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/retry_budget.py
@@ -18,7 +18,7 @@
         self._lock = threading.Lock()
         self._retries = INITIAL_RETRIES
 
-    def succeeded(self) -> None:
+    def note_success(self) -> None:
         """Count a whole answer."""
         with self._lock:
             self._retries = min(MAX_RETRIES, self._retries + RETRIES_PER_SUCCESS)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -41,10 +41,10 @@
 MAX_RESUMES = 32
 MAX_STALLED_RESUMES = 3
 MAX_LOST_ENGINES_WITHOUT_BUDGET = 2
-PAUSE_SECONDS = 0.05
-FIRST_PRIORITY = 0
+RETRY_PAUSE_SECONDS = 0.05
+TURN_PRIORITY = 0
 ENGINE_POLL_SECONDS = 0.1
-TOKENS_BETWEEN_TIMEOUTS = 16
+TOKENS_PER_TIMEOUT_UPDATE = 16
 GAP_WEIGHT = 0.2
 
 
@@ -74,7 +74,7 @@
             except UpstreamError as error:
                 self._after_failure(engine, error)
             else:
-                self._parts.budget.succeeded()
+                self._parts.budget.note_success()
                 self._parts.metrics.tokens.add(self._progress.position)
                 return
             finally:
@@ -104,23 +104,23 @@
             self._parts.quarantine.clear(turn)
 
     def _choose_engine(self) -> EngineMember:
-        engine = self._candidate()
+        engine = self._choose_untried_first()
         # A cut answer cannot be asked for again where it broke off, so one that
         # has begun waits for an engine; one that has not is refused at once.
-        while engine is None and self._progress.position and not self._is_late():
+        while engine is None and self._progress.position and not self._is_past_deadline():
             time.sleep(ENGINE_POLL_SECONDS)
-            engine = self._candidate()
+            engine = self._choose_untried_first()
         if engine is None:
             raise self._new_refusal("not_resident", f"no engine can run {self._request.unit} now")
         return engine
 
-    def _candidate(self) -> EngineMember | None:
+    def _choose_untried_first(self) -> EngineMember | None:
         """Return the best engine; those that failed this request come last."""
-        unreachable = self._parts.reachability.unreachable()
-        engine = self._routed(self._failed | unreachable)
-        return engine or (self._routed(unreachable) if self._failed else None)
+        shunned = self._parts.reachability.shunned()
+        engine = self._route(self._failed | shunned)
+        return engine or (self._route(shunned) if self._failed else None)
 
-    def _routed(self, excluded: set[str]) -> EngineMember | None:
+    def _route(self, excluded: set[str]) -> EngineMember | None:
         router, request = self._parts.router, self._request
         if self._progress.position:
             # Only the version that began an answer can continue it.
@@ -142,19 +142,21 @@
         ):
             parts.metrics.attempts.add(1, {"upstream": engine.id})
             try:
-                yield from self._resumed(engine, attempt, trace_headers(hop))
+                yield from self._attempt_with_resumes(engine, attempt, trace_headers(hop))
             except GeneratorExit:
                 self._cancel(engine, attempt)
                 raise
 
-    def _resumed(self, engine: EngineMember, attempt: Attempt, headers: dict[str, str]) -> Events:
+    def _attempt_with_resumes(
+        self, engine: EngineMember, attempt: Attempt, headers: dict[str, str]
+    ) -> Events:
         """Yield the answer of one attempt over as many connections as it takes."""
         connect: Callable[[], EngineStream] = partial(self._start, engine, attempt, headers)
         stalled = 0
         for _ in range(MAX_RESUMES):
             before = self._progress.position
             try:
-                yield from self._follow(connect())
+                yield from self._relay_stream(connect())
                 return
             except StreamBroken as broken:
                 error = broken
@@ -168,19 +170,19 @@
     def _start(
         self, engine: EngineMember, attempt: Attempt, headers: dict[str, str]
     ) -> EngineStream:
-        return self._parts.client.start(engine, attempt, headers, self._first_token_wait())
+        return self._parts.client.start(engine, attempt, headers, self._first_token_timeout())
 
     def _resume(
         self, engine: EngineMember, attempt_id: str, headers: dict[str, str]
     ) -> EngineStream:
         position = self._progress.position
-        wait = self._parts.silence.max_seconds if position else self._first_token_wait()
+        wait = self._parts.silence.max_seconds if position else self._first_token_timeout()
         return self._parts.client.resume(engine, attempt_id, position, headers, wait)
 
-    def _follow(self, stream: EngineStream) -> Events:
+    def _relay_stream(self, stream: EngineStream) -> Events:
         """Yield what comes over one connection, with the silence bound kept up to date."""
         progress, silence = self._progress, self._parts.silence
-        gap, untimed, last = 0.0, 1, 0.0
+        mean_gap, until_update, last_at = 0.0, 1, 0.0
         clear_at = self._turn.clear_at if self._turn else -1
         for event in stream.events(progress.position):
             if isinstance(event, EndEvent):
@@ -190,12 +192,14 @@
             progress.texts.append(event.text)
             progress.position += 1
             now = time.monotonic()
-            gap += GAP_WEIGHT * (now - last - gap) if last else 0.0
-            last = now
-            untimed -= 1
-            if not untimed:
-                untimed = TOKENS_BETWEEN_TIMEOUTS
-                stream.set_timeout(silence.between_tokens(gap) if gap else silence.max_seconds)
+            mean_gap += GAP_WEIGHT * (now - last_at - mean_gap) if last_at else 0.0
+            last_at = now
+            until_update -= 1
+            if not until_update:
+                until_update = TOKENS_PER_TIMEOUT_UPDATE
+                stream.set_timeout(
+                    silence.token_timeout(mean_gap) if mean_gap else silence.max_seconds
+                )
             if progress.position == clear_at:
                 self._clear_turn()
             yield event
@@ -211,7 +215,7 @@
             position=self._progress.position,
             error=error,
         )
-        if self._is_late() or stalled > MAX_STALLED_RESUMES:
+        if self._is_past_deadline() or stalled > MAX_STALLED_RESUMES:
             raise error
         silent = isinstance(error, StreamSilent)
         if stalled or silent:
@@ -219,7 +223,7 @@
         if stalled and not silent:
             if not parts.budget.take():
                 raise error
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(RETRY_PAUSE_SECONDS)
         parts.metrics.resumes.add(1, {"upstream": engine.id})
 
     def _probe(self, engine: EngineMember, error: StreamBroken) -> None:
@@ -256,7 +260,7 @@
         if isinstance(error, UpstreamCrashed):
             turn, self._turn = self._turn, None
             self._parts.quarantine.note_crash(self._request.fingerprint, engine.id, turn)
-        again = self._may_go_on(error)
+        again = self._may_retry(error)
         log_event(
             "attempt_failed",
             level="WARNING",
@@ -270,10 +274,10 @@
             raise self._new_refusal("upstream_failed", str(error)) from error
         self._parts.metrics.retries.add(1)
 
-    def _may_go_on(self, error: UpstreamError) -> bool:
+    def _may_retry(self, error: UpstreamError) -> bool:
         if self._state is not RunState.NOT_RUN and not self._request.idempotent:
             return False
-        if self._is_late() or self._attempts >= MAX_ATTEMPTS:
+        if self._is_past_deadline() or self._attempts >= MAX_ATTEMPTS:
             return False
         # The loss of one engine breaks many answers at once that had been going well;
         # each may continue. It cannot make a storm: a lost engine is met once.
@@ -282,7 +286,7 @@
             self._lost_engines += 1
             return True
         if self._progress.position and error.run is RunState.NOT_RUN:
-            time.sleep(PAUSE_SECONDS * self._attempts)
+            time.sleep(RETRY_PAUSE_SECONDS * self._attempts)
             return True
         return self._parts.budget.take()
 
@@ -300,15 +304,15 @@
             prompt=request.prompt,
             max_tokens=request.max_tokens,
             # A turn holds up other suspects, so it does not queue behind everything else.
-            priority=FIRST_PRIORITY if self._turn else request.priority,
+            priority=TURN_PRIORITY if self._turn else request.priority,
             skip=progress.position,
             delivered=progress.delivered,
         )
 
-    def _first_token_wait(self) -> float:
-        return self._parts.silence.first_token(self._request.deadline_at)
+    def _first_token_timeout(self) -> float:
+        return self._parts.silence.first_token_timeout(self._request.deadline_at)
 
-    def _is_late(self) -> bool:
+    def _is_past_deadline(self) -> bool:
         return time.monotonic() >= self._request.deadline_at
 
     def _new_refusal(self, code: str, detail: str) -> Refusal:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/silence.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/silence.py
@@ -3,8 +3,8 @@
 import time
 from typing import NamedTuple
 
-GAPS = 8.0
-FIRST_TOKEN_SHARE = 0.5
+MAX_SILENT_GAPS = 8.0
+FIRST_TOKEN_FRACTION = 0.5
 
 
 class SilenceBounds(NamedTuple):
@@ -13,14 +13,14 @@
     min_seconds: float
     max_seconds: float
 
-    def first_token(self, deadline_at: float) -> float:
+    def first_token_timeout(self, deadline_at: float) -> float:
         """Return the wait for a first token: it also covers queueing and prefill.
 
         Half of what is left, so that there is time for another attempt.
         """
-        left = (deadline_at - time.monotonic()) * FIRST_TOKEN_SHARE
-        return max(self.min_seconds, left)
+        remaining = (deadline_at - time.monotonic()) * FIRST_TOKEN_FRACTION
+        return max(self.min_seconds, remaining)
 
-    def between_tokens(self, gap_seconds: float) -> float:
+    def token_timeout(self, gap_seconds: float) -> float:
         """Return the wait that a mean gap between tokens calls for."""
-        return min(self.max_seconds, max(self.min_seconds, GAPS * gap_seconds))
+        return min(self.max_seconds, max(self.min_seconds, MAX_SILENT_GAPS * gap_seconds))
