--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""Claims and kept outcomes of non-idempotent requests."""
+"""At-most-once execution of non-idempotent requests: claims and stored answers."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claim.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claim.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's table that make a non-idempotent request run at most once."""
+"""Claim rows of the platform's table, by which a non-idempotent request runs at most once."""
 
 from typing import NamedTuple
 
@@ -11,14 +11,14 @@
 
 
 class Claimant(NamedTuple):
-    """The process that wrote a claim; a restarted instance has another ``boot``."""
+    """The process that wrote a claim; ``boot`` differs after each restart of the instance."""
 
     instance: str
     boot: int
 
 
 class ClaimKey(NamedTuple):
-    """What a caller's idempotency key is unique in."""
+    """The scope of an idempotency key: it is unique within one caller and service."""
 
     caller: str
     service: str
@@ -26,12 +26,12 @@
 
     @property
     def row(self) -> str:
-        """The key of the claim's row; it gives the caller's key away to nobody."""
+        """The key of the claim's row, a digest that does not disclose the caller's key."""
         return CLAIM_PREFIX + sha256_hex(_length_prefixed(*self))
 
 
 class _Claim(msgspec.Struct, frozen=True, tag_field="state"):
-    """``fingerprint`` digests the request; ``expires_at`` is in Unix seconds."""
+    """Fields of all claims: ``fingerprint`` digests the request, ``expires_at`` is in Unix seconds."""
 
     fingerprint: str
     holder: Claimant
@@ -39,37 +39,37 @@
 
 
 class Open(_Claim, frozen=True, tag="open"):
-    """The holder may have sent the request; only the holder writes the row again."""
+    """The claim holder may have sent the request; only the claim holder updates the row."""
 
 
 class Done(_Claim, frozen=True, tag="done"):
-    """The request was run and this is its answer."""
+    """The request was run, and ``outcome`` is its answer."""
 
     outcome: InRow | InObject
 
 
 class Unknown(_Claim, frozen=True, tag="unknown"):
-    """The holder sent the request and will never learn whether it was run."""
+    """The claim holder sent the request and cannot learn whether it was run."""
 
 
 class Released(_Claim, frozen=True, tag="released"):
-    """The request was not run; a repeat may take the claim."""
+    """The request was not run; a repeat may claim the key again."""
 
 
 Claim = Open | Done | Unknown | Released
 
 
 def parse_claim(value: object) -> Claim:
-    """Return the claim in a row's value; raise `msgspec.ValidationError`."""
+    """Return the claim in a row's value; raises `msgspec.ValidationError`."""
     claim: Claim = msgspec.convert(value, Claim)
     return claim
 
 
 def request_fingerprint(method: str, path: str, body: bytes) -> str:
-    """Digest what a repeat must have in common with the first sending."""
+    """Return the digest of all that a repeat must have in common with the first request."""
     return sha256_hex(_length_prefixed(method, path, sha256_hex(body)))
 
 
 def _length_prefixed(*parts: str) -> bytes:
-    # Lengths keep ("ab", "c") and ("a", "bc") apart.
+    # The lengths give ("ab", "c") and ("a", "bc") different digests.
     return "".join(f"{len(part)}:{part}" for part in parts).encode()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
@@ -1,4 +1,7 @@
-"""Claims on idempotency keys: made before a request is sent, ended with its outcome."""
+"""Claims idempotency keys before requests are sent, and records how the requests ended.
+
+A repeat is a later request of the caller with the same idempotency key.
+"""
 
 import threading
 import time
@@ -42,7 +45,7 @@
 
 
 class Claimed(NamedTuple):
-    """A claim that this instance holds: it alone may send the request, once."""
+    """An open claim of this instance, which alone may send the request, and only once."""
 
     row: str
     version: int
@@ -50,7 +53,7 @@
 
 
 class Claims:
-    """Takes claims and writes how they ended."""
+    """Opens claims, answers repeats and writes how claims ended."""
 
     def __init__(
         self,
@@ -74,10 +77,11 @@
         committer.on_orphaned(self._withdraw)
 
     def open(self, key: ClaimKey, fingerprint: str, timeout_seconds: float) -> Claimed | Answer:
-        """Return the claim, or the answer kept for ``key``; raise `Refusal`.
+        """Return the new claim, or the answer stored for ``key``; raises `Refusal`.
 
-        Nothing of the request may have been sent yet: every refusal for a
-        claim that could not be made says that this sending was not run.
+        Must be called before any part of the request is sent: a refusal because the
+        table does not answer says that the request was not run, unless this instance
+        has claimed the key before.
         """
         version = ABSENT
         deadline = time.monotonic() + timeout_seconds
@@ -97,28 +101,28 @@
                 case Failed() | None:
                     raise self._make_unavailable_refusal(key.row)
         raise self._make_refusal(
-            409, "claim_unfinished", "other sendings of this key are under way"
+            409, "claim_unfinished", "other requests with this key are in flight"
         )
 
     def complete(self, claimed: Claimed, answer: Answer) -> None:
-        """Keep ``answer`` for repeats, at once or as soon as the platform takes it."""
+        """Store ``answer`` for repeats, now or as soon as the platform accepts the write."""
         self._end(Ending(claimed.row, claimed.version, lambda: self._done_claim(claimed, answer)))
 
     def mark_unknown(self, claimed: Claimed) -> None:
-        """Write that nobody will learn whether the request was run."""
+        """Record that it cannot be known whether the request was run."""
         claim = Unknown(claimed.fingerprint, self._claimant, self._expires_at())
         self._end(Ending(claimed.row, claimed.version, lambda: claim))
 
     def release(self, claimed: Claimed) -> None:
-        """Give the claim back: the request was not run and a repeat may run it."""
+        """Release the claim: the request was not run, and a repeat may run it."""
         with self._lock:
             self._claimed_rows.pop(claimed.row, None)
         claim = Released(claimed.fingerprint, self._claimant, self._expires_at())
         self._end(Ending(claimed.row, claimed.version, lambda: claim))
 
     def _end(self, ending: Ending) -> None:
-        # The caller's answer does not wait for a platform that is slow or down:
-        # the settler goes on with what could not be written in this time.
+        # The caller's answer must not wait for a platform that is slow or down: the
+        # settler retries what could not be written within the timeout.
         try:
             write = RowWrite(ending.row, ending.version, ending.claim())
         except PlatformError:
@@ -133,8 +137,8 @@
         return Done(claimed.fingerprint, self._claimant, self._expires_at(), stored)
 
     def _withdraw(self, write: RowWrite) -> None:
-        # Only an open claim that nobody waits for is withdrawn: its request was
-        # refused without being sent, and would else stay unfinished for good.
+        # The request of an open claim that nobody waits for was refused without being
+        # sent. Unless the claim is withdrawn, every repeat is refused as unfinished.
         if isinstance(write.value, Open):
             claim = Released(write.value.fingerprint, self._claimant, self._expires_at())
             self._settler.withdraw(write, claim)
@@ -144,7 +148,7 @@
             return parse_claim(row.value)
         except msgspec.ValidationError as error:
             raise self._make_refusal(
-                409, "claim_unfinished", f"unreadable claim: {error}"
+                409, "claim_unfinished", f"the claim cannot be decoded: {error}"
             ) from error
 
     def _note_claimed(self, claimed: Claimed) -> Claimed:
@@ -171,14 +175,16 @@
                 raise self._make_refusal(
                     409,
                     "outcome_unknown",
-                    "an earlier sending with this key may have run; its outcome is lost",
+                    "an earlier request with this key may have run; its outcome is lost",
                     retry_after_seconds=RETRY_AFTER_UNKNOWN_SECONDS,
                 )
             case Open(holder=holder):
-                # The holder may have died between the claim and the send or after
-                # it. Nobody can tell which, so nobody sends it again.
+                # The claim holder may have crashed before or after it sent the request.
+                # The two cannot be told apart, so the request is not sent again.
                 raise self._make_refusal(
-                    409, "claim_unfinished", f"an earlier sending is open at {holder.instance}"
+                    409,
+                    "claim_unfinished",
+                    f"an earlier request with this key is open at {holder.instance}",
                 )
 
     def _make_unavailable_refusal(self, row: str) -> Refusal:
@@ -186,12 +192,12 @@
             sent_here = row in self._claimed_rows
         if sent_here:
             return self._make_refusal(
-                503, "claims_unavailable", "an earlier sending with this key may have run"
+                503, "claims_unavailable", "an earlier request with this key may have run"
             )
         return self._make_refusal(
             503,
             "claims_unavailable",
-            "the platform's table does not answer, this sending was not run",
+            "the platform's table does not answer; the request was not run",
             run=RunState.NOT_RUN,
             retry_after_seconds=RETRY_AFTER_PLATFORM_SECONDS,
         )
@@ -218,5 +224,7 @@
 
 def _require_same_request(claim: Claim, fingerprint: str) -> Claim:
     if claim.fingerprint != fingerprint:
-        raise Refusal(422, "idempotency_key_reused", "the key was first used with another request")
+        raise Refusal(
+            422, "idempotency_key_reused", "the idempotency key was first used with another request"
+        )
     return claim
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/committer.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/committer.py
@@ -1,4 +1,4 @@
-"""Commits row writes of this instance in batches, one transaction at a time."""
+"""Commits the row writes of this instance in batches, one transaction at a time."""
 
 import threading
 import time
@@ -35,11 +35,11 @@
 
 
 class Committer:
-    """One thread: what comes while a transaction is under way goes into the next.
+    """Commits queued writes on one thread; those that arrive meanwhile form the next batch.
 
-    A transaction takes effect whole or not at all, so one row that was taken
-    by somebody else fails the batch. The platform names the rows that failed:
-    those are settled and the rest is sent again.
+    A transaction is atomic, so a row that was changed by another instance fails the
+    whole batch. The platform names the rows in conflict: their writes are settled,
+    and the rest of the batch is sent again.
     """
 
     def __init__(
@@ -60,15 +60,19 @@
         self.transactions = 0
 
     def on_orphaned(self, handler: OrphanHandler) -> None:
-        """Call ``orphaned`` with each write that may stand though nobody waited for it."""
+        """Set the handler of orphaned writes.
+
+        These are writes that took effect after their waiter had timed out, and failed
+        writes that may still take effect.
+        """
         self._handle_orphan = handler
 
     def start(self) -> None:
-        """Begin to commit."""
+        """Start the thread that commits."""
         self._thread.start()
 
     def stop(self, timeout_seconds: float = 5.0) -> None:
-        """Commit what waits and end."""
+        """Commit the queued writes and stop the thread."""
         with self._condition:
             self._stopped = True
             self._condition.notify_all()
@@ -76,10 +80,14 @@
             self._thread.join(timeout_seconds)
 
     def submit(self, write: RowWrite) -> None:
-        """Queue ``write``; while the platform fails it is settled as failed at once."""
+        """Queue ``write``, or settle it as failed at once.
+
+        A write fails at once when the committer is stopped, when the queue is full, and
+        during the pause after a commit that got no answer.
+        """
         with self._condition:
-            answering = not self._stopped and time.monotonic() >= self._refuse_until
-            if answering and len(self._waiting) < MAX_QUEUED_WRITES:
+            accepting = not self._stopped and time.monotonic() >= self._refuse_until
+            if accepting and len(self._waiting) < MAX_QUEUED_WRITES:
                 self._waiting.append(write)
                 self._condition.notify_all()
                 return
@@ -91,7 +99,7 @@
             self._commit(batch)
 
     def _await_work(self) -> bool:
-        """Block until there is a write; return False when stopped and empty."""
+        """Block until a write is queued; return False once stopped with an empty queue."""
         with self._condition:
             self._condition.wait_for(lambda: self._waiting or self._stopped)
             return bool(self._waiting)
@@ -101,8 +109,8 @@
         with self._condition:
             waiting, self._waiting = self._waiting, deque()
             for write in waiting:
-                # Two writes of one row cannot share a transaction: the second
-                # has to see the version that the first one makes.
+                # Two writes of one row cannot share a transaction: the second must
+                # check the version that the first one creates.
                 if write.key in by_key or len(by_key) >= self._max_batch_writes:
                     self._waiting.append(write)
                 elif not write.abandoned:
@@ -120,10 +128,10 @@
                 self._fail(batch, Failed(str(error), may_take_effect), began_at)
                 return
             except WriteUnknown as error:
-                # The reply is lost, the write may have taken effect or come late.
-                # The same batch again settles both: if the first one took effect,
-                # the checks fail on rows that bear its write id; if this one does,
-                # the checks of the late one fail.
+                # The reply is lost: the write may have taken effect or may do so later.
+                # Sending the batch again settles both cases. If the first write took
+                # effect, the checks fail on rows that have its write id; if the second
+                # one does, the checks of the late first one fail.
                 may_take_effect = True
                 tries += 1
                 if tries < MAX_TRIES:
@@ -144,10 +152,10 @@
         try:
             return self._table.commit(transaction)
         except msgspec.MsgspecError as error:
-            raise WriteUnknown(f"a reply that is not well-formed: {error}") from error
+            raise WriteUnknown(f"the reply is malformed: {error}") from error
 
     def _settle(self, batch: list[RowWrite], outcome: Committed | Conflict) -> list[RowWrite]:
-        """Settle what ``outcome`` decides and return the rest."""
+        """Settle the writes that ``outcome`` decides; return the others."""
         match outcome:
             case Committed(rows=rows):
                 for write in batch:
@@ -159,14 +167,15 @@
                         self._end(write, _resolve_conflict(write, found[write.key]))
                 rest = [w for w in batch if w.key not in found]
                 if len(rest) == len(batch):
-                    raise WriteUnknown("a conflict that names none of the rows")
+                    raise WriteUnknown("the conflict names no row of the transaction")
                 return rest
 
     def _fail(self, batch: list[RowWrite], failed: Failed, began_at: float) -> None:
-        """Fail ``batch`` and all that waits: a refusal at once beats a late one.
+        """Fail ``batch`` and all queued writes, so that their requests are refused early.
 
-        A platform that hangs is not asked again for a while, or else every claim
-        would wait for its timeout. One that refuses quickly needs no pause.
+        New writes are refused for as long as this commit took, at most the maximum
+        pause. Otherwise every claim would wait for the timeout of a platform that
+        hangs; one that fails fast causes hardly any pause.
         """
         now = time.monotonic()
         log_event("claims_not_written", level="WARNING", count=len(batch), error=failed.detail)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/once.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/once.py
@@ -1,4 +1,4 @@
-"""Runs a request at most once for its idempotency key, whoever waits for it."""
+"""Runs a request at most once for each idempotency key."""
 
 import threading
 import time
@@ -24,11 +24,10 @@
 
 
 class Once:
-    """Claims a key, sends once, and keeps the outcome.
+    """Claims the key, sends the request once and stores its outcome.
 
-    A request that was sent is let finish when its caller's deadline passes or
-    the caller goes away: only its outcome tells whether it was run, and a
-    repeat asks for it.
+    A request that was sent is not cancelled when its deadline passes or its caller
+    disconnects: only the outcome shows whether it was run, and repeats return it.
     """
 
     def __init__(self, claims: Claims, claim_timeout_seconds: float) -> None:
@@ -38,9 +37,9 @@
         self._running = 0
 
     def call(self, key: ClaimKey, fingerprint: str, deadline_at: float, send: Send) -> Answer:
-        """Return the answer of ``send`` or the one kept; raise `Refusal`.
+        """Return the answer of ``send`` or the stored one; raises `Refusal`.
 
-        ``send`` raises `Refusal`; its ``run`` decides how the claim ends.
+        ``send`` may raise `Refusal`, whose ``run`` decides how the claim ends.
         """
         claimed = self._claim(key, fingerprint, deadline_at)
         if isinstance(claimed, Answer):
@@ -53,7 +52,7 @@
             raise Refusal(
                 504,
                 "deadline_exceeded",
-                "the call was sent and goes on; a repeat with its key gets the outcome",
+                "the call is still running; repeat it with the same key to get its outcome",
                 run=RunState.UNKNOWN,
                 retry_after_seconds=RETRY_AFTER_DEADLINE_SECONDS,
             ) from None
@@ -61,7 +60,7 @@
     def stream(
         self, key: ClaimKey, fingerprint: str, deadline_at: float, start: Start
     ) -> Iterator[StreamEvent]:
-        """Return the events of ``start`` or those kept; raise `Refusal`."""
+        """Return the events of ``start`` or the stored ones; raises `Refusal`."""
         claimed = self._claim(key, fingerprint, deadline_at)
         if isinstance(claimed, Answer):
             return _replay_events(claimed)
@@ -73,7 +72,7 @@
         return self._record_events(claimed, events)
 
     def wait_until_idle(self, timeout_seconds: float) -> None:
-        """Block until every request that was sent has ended, at most so long."""
+        """Wait until no request is running in the background, at most ``timeout_seconds``."""
         with self._condition:
             self._condition.wait_for(lambda: self._running == 0, timeout_seconds)
             if self._running:
@@ -85,7 +84,9 @@
         claimed = self._claims.open(key, fingerprint, timeout)
         if isinstance(claimed, Claimed) and time.monotonic() >= deadline_at:
             self._claims.release(claimed)
-            raise Refusal(504, "deadline_past", "the deadline passed before it could be sent")
+            raise Refusal(
+                504, "deadline_past", "the deadline passed before the request could be sent"
+            )
         return claimed
 
     def _send(self, claimed: Claimed, send: Send, future: Future[Answer]) -> None:
@@ -95,8 +96,8 @@
             self._end_failed(claimed, error)
             future.set_exception(error)
             return
-        # Kept before it is handed over: the caller may never see this answer, and
-        # then its repeat must find it.
+        # Stored before it is returned: if the answer does not reach the caller, a
+        # repeat must find it.
         self._claims.complete(claimed, answer)
         future.set_result(answer)
 
@@ -109,7 +110,7 @@
                 self._record(claimed, texts, event)
                 yield event
         except GeneratorExit:
-            # The caller is gone; the generation goes on without it.
+            # The caller disconnected; the generation is finished in the background.
             self._spawn(lambda: self._finish(claimed, texts, events))
             raise
         except BaseException as error:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/outcome.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/outcome.py
@@ -1,4 +1,4 @@
-"""Answers kept for repeats: small ones in the claim's row, large ones as objects."""
+"""Answers stored for repeats: small ones in the claim's row, large ones as objects."""
 
 from typing import NamedTuple
 
@@ -12,7 +12,7 @@
 
 
 class Answer(NamedTuple):
-    """A whole answer of an upstream."""
+    """A complete answer of an upstream."""
 
     status: int
     content_type: str
@@ -20,7 +20,7 @@
 
 
 class InRow(msgspec.Struct, frozen=True, tag="row"):
-    """An answer small enough for the row."""
+    """An answer stored in the claim's row."""
 
     status: int
     content_type: str
@@ -28,7 +28,7 @@
 
 
 class InObject(msgspec.Struct, frozen=True, tag="object"):
-    """An answer whose body is the object ``object_key``."""
+    """An answer whose body is stored as the object ``object_key``."""
 
     status: int
     content_type: str
@@ -36,16 +36,16 @@
 
 
 class OutcomeStore:
-    """Puts answers where they belong and reads them back."""
+    """Stores answers by size and reads them back."""
 
     def __init__(self, objects: Objects) -> None:
         self._objects = objects
 
     def put(self, answer: Answer) -> InRow | InObject:
-        """Return what the row holds; raise `PlatformUnavailable` or `WriteUnknown`.
+        """Store ``answer`` and return what belongs in the row.
 
-        The object is keyed by the digest of its content, so that writing it
-        again after a lost reply changes nothing.
+        Raises `PlatformUnavailable` or `WriteUnknown`. An object is keyed by the digest
+        of its content, so writing it again after a lost reply changes nothing.
         """
         if len(answer.body) <= MAX_IN_ROW_BYTES:
             return InRow(*answer)
@@ -54,7 +54,7 @@
         return InObject(answer.status, answer.content_type, key)
 
     def get(self, stored: InRow | InObject) -> Answer:
-        """Return the answer; raise `PlatformUnavailable`."""
+        """Return the answer; raises `PlatformUnavailable`."""
         match stored:
             case InRow():
                 return Answer(stored.status, stored.content_type, stored.body)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/retention.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/retention.py
@@ -1,4 +1,4 @@
-"""Deletes claims whose time is past, by an index of when they expire."""
+"""Deletes expired claims, found by an index of their expiry times."""
 
 import itertools
 import threading
@@ -19,18 +19,18 @@
 BUCKET_SECONDS = 3600
 MAX_INDEX_ROW_CLAIMS = 200
 SWEEP_PAUSE_SECONDS = 1.0
-# The bucket that is running, and one for claims whose time started again when
+# The current bucket, and one more for claims whose retention time started again when
 # their requests ended.
 GRACE_BUCKETS = 2
 
 
 class Retention:
-    """Notes claims made here; the holder of one lease sweeps those of everybody.
+    """Indexes the claims of this instance; one lease holder sweeps those of all instances.
 
-    A scan over all claims would read millions of rows. So each instance writes,
-    now and then, which rows expire in which bucket of time, and the sweep reads
-    only the buckets that are past. What an instance noted but had not written
-    when it was killed stays in the table.
+    A scan over all claims would read millions of rows. Instead, each instance writes
+    from time to time which rows expire in which bucket of time, and the sweep reads
+    only the buckets that have passed. Claims that an instance had not yet written to
+    the index when it was killed are never deleted.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
         self._rows_by_bucket: dict[int, list[str]] = defaultdict(list)
 
     def note(self, row: str, expires_at: int) -> None:
-        """Remember that the claim in ``row`` expires at ``expires_at``, Unix seconds."""
+        """Note that the claim in ``row`` expires at ``expires_at``, in Unix seconds."""
         with self._lock:
             self._rows_by_bucket[expires_at // BUCKET_SECONDS].append(row)
 
     def flush(self) -> None:
-        """Write what was noted; on an outage it stays noted."""
+        """Write the noted claims to the index; those that cannot be written stay noted."""
         with self._lock:
             noted, self._rows_by_bucket = self._rows_by_bucket, defaultdict(list)
         for bucket, rows in noted.items():
@@ -64,7 +64,7 @@
                 self._write_index(bucket, rows[start : start + MAX_INDEX_ROW_CLAIMS])
 
     def sweep(self) -> None:
-        """Delete the claims of the oldest bucket that is past, if the lease is held."""
+        """Delete the expired claims of the next bucket that is due, if the lease can be held."""
         if not self._may_sweep():
             return
         due = int(self._clock()) // BUCKET_SECONDS - GRACE_BUCKETS
@@ -109,8 +109,8 @@
         return len(expired)
 
     def _delete(self, index: str, expired: dict[str, Row]) -> None:
-        # The checks keep a claim that a repeat is taking just now. A lost reply
-        # ends this sweep; the next one finds what is left.
+        # The checks protect a claim that a repeat is opening at the same time. A lost
+        # reply ends this sweep; the next sweep deletes what is left.
         while True:
             transaction = Transaction(
                 new_write_id(),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
@@ -1,4 +1,4 @@
-"""Writes how claims ended, again until the platform takes it."""
+"""Writes how claims ended, and retries until the platform accepts the writes."""
 
 import threading
 import time
@@ -27,7 +27,7 @@
 
 
 class Ending(NamedTuple):
-    """How the claim in ``row`` ended; ``claim`` may raise `PlatformError`."""
+    """The end of the claim in ``row``; ``claim`` makes the new value, may raise `PlatformError`."""
 
     row: str
     version: int
@@ -35,12 +35,14 @@
 
 
 class _Withdrawal(NamedTuple):
+    """An open claim that must not remain, and the release that replaces it."""
+
     write: RowWrite
     claim: Released
 
 
 class Settler:
-    """One thread and a bounded queue; what does not fit stays unfinished and is logged."""
+    """Works off a bounded queue on one thread; claims that do not fit stay open and are logged."""
 
     def __init__(self, committer: Committer, table: Table) -> None:
         self._committer = committer
@@ -51,19 +53,19 @@
         self._thread = threading.Thread(target=self._run, name="settler", daemon=True)
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the thread that writes."""
         self._thread.start()
 
     def add(self, ending: Ending) -> None:
-        """Write ``ending`` as soon as the platform takes it."""
+        """Queue ``ending``, to be written as soon as the platform accepts it."""
         self._add(ending)
 
     def withdraw(self, write: RowWrite, claim: Released) -> None:
-        """Put ``claim`` in place of an open claim that may stand or still arrive."""
+        """Queue ``claim`` to replace the open claim of ``write``, which may still take effect."""
         self._add(_Withdrawal(write, claim))
 
     def stop(self, timeout_seconds: float) -> None:
-        """Wait until all is written, at most ``timeout_seconds``, and end."""
+        """Wait until the queue is empty, at most ``timeout_seconds``, then stop the thread."""
         with self._condition:
             self._condition.wait_for(lambda: not self._jobs, timeout_seconds)
             unfinished = len(self._jobs)
@@ -107,11 +109,11 @@
             return False
 
     def _write_withdrawal(self, job: _Withdrawal) -> bool:
-        """Release the row if it is ours, or if our write may still come.
+        """Release the row if the write has taken effect or may still do so.
 
-        While the row has the version that the write checks for (or is absent),
-        the write may still take effect. A release in its place raises the
-        version, so that a late claim cannot stand up when nobody holds it.
+        While the row has the version that the write checks for (or is absent), the
+        write may still take effect. The release raises the version, so a late claim
+        that nobody holds fails its check.
         """
         write = job.write
         row = self._table.read([write.key])[write.key]
@@ -120,13 +122,13 @@
         if not ours and version != write.version:
             return True
         result = self._commit(write.key, version, job.claim)
-        # Beaten: the late write has come in between; the next try sees its row.
+        # On a conflict the late write has just taken effect; the next try reads its row.
         return isinstance(result, Written)
 
     def _write_ending(self, ending: Ending) -> bool:
         result = self._commit(ending.row, ending.version, ending.claim())
-        # Beaten: an earlier try of this ending has taken effect after all; nobody
-        # else writes the row of an open claim.
+        # On a conflict an earlier try of this ending has taken effect: no other instance
+        # writes the row of an open claim.
         return isinstance(result, Written | WriteConflict)
 
     def _commit(self, row: str, version: int, claim: Claim) -> WriteResult | None:
