--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash upstreams."""
+"""Quarantine of requests that crash upstreams."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""Finds requests that crash upstreams, and refuses them everywhere."""
+"""Finds requests that crash engines, so that every instance refuses them."""
 
 import itertools
 import threading
@@ -28,23 +28,27 @@
 QUARANTINE_TOPIC = "quarantine"
 QUARANTINE_SECONDS = 3600.0
 SUSPICION_SECONDS = 300.0
-# A claim that is older is one of an instance that has ended.
+# A turn whose record is older belongs to an instance that has ended.
 MAX_TURN_SECONDS = 15.0
-# Twice the time in which peers hear of an entry (a link holds it back for up to 0.15 s):
-# of two claims at once, each side has then heard of the other's before it decides.
+# Twice the time in which peers receive an entry (a link delays it by up to 0.15 s). Of two
+# instances that request a turn at once, each has the other's record before it decides.
 SETTLE_SECONDS = 0.4
+# A crash is attributed to a request that was quarantined at most this long ago because
+# of the same engine.
 ATTRIBUTION_SECONDS = 10.0
-# What the dead engine may have generated that never arrived. Few: an engine that dies by
-# itself during a turn condemns an innocent request, so turns are short.
+# Covers the tokens that the crashed engine may have generated but not delivered. The
+# number is low to keep turns short: if an engine crashes for another reason during a turn,
+# the request of that turn is quarantined wrongly.
 CLEARING_TOKENS = 2
 RETRY_AFTER_SECONDS = 1.0
 
 
 class Quarantine:
-    """Lets each suspect run alone among suspects, so that no other is condemned.
+    """Runs suspects one at a time on each engine, to find the one that crashes engines.
 
-    When an engine dies, everything that ran on it is suspect. With one suspect
-    at a time on an engine, a second death has one possible cause.
+    When an engine crashes, all requests that ran on it become suspect. With one suspect
+    at a time on an engine, a second crash has one possible cause: that request is
+    quarantined, that is refused by all instances until the quarantine expires.
     """
 
     def __init__(self, instance: str, gossip: GossipState, store: QuarantineStore) -> None:
@@ -58,14 +62,14 @@
         gossip.subscribe(QUARANTINE_TOPIC, self._on_quarantine)
 
     def refresh(self) -> None:
-        """Take what the platform's table holds; raise `PlatformError`."""
+        """Add the quarantines stored in the platform's table; raises `PlatformError`."""
         for stored in self._store.load():
             with self._changed:
                 if stored.fingerprint not in self._quarantined:
                     self._add_quarantine(stored.fingerprint, stored.seconds, stored.crashed_engines)
 
     def check(self, fingerprint: str) -> None:
-        """Raise the final `Refusal` when ``fingerprint`` is quarantined."""
+        """Raise the final `Refusal` if ``fingerprint`` is quarantined."""
         with self._changed:
             quarantined = self._quarantined.get(fingerprint)
             if quarantined is None:
@@ -76,16 +80,16 @@
             del self._quarantined[fingerprint]
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Return whether an engine died under ``fingerprint`` and nothing cleared it yet."""
+        """Return whether an engine crashed under ``fingerprint``, and it is not cleared yet."""
         with self._changed:
             return bool(self._crashes_of(fingerprint))
 
     def wait_for_turn(
         self, fingerprint: str, engine: str, position: int, deadline_at: float
     ) -> Turn | None:
-        """Return None at once for a request that is no suspect, else wait for its turn.
+        """Wait for a suspect's turn; return None if the request is or becomes unsuspected.
 
-        Raises `Refusal` when it is quarantined or its deadline passes meanwhile.
+        Raises `Refusal` if it is quarantined or its deadline passes during the wait.
         """
         with self._changed:
             self.check(fingerprint)
@@ -101,21 +105,22 @@
             return Turn(key, record, position + CLEARING_TOKENS)
 
     def clear(self, turn: Turn) -> None:
-        """End a turn: the request has run past the place where its engine died."""
+        """End a turn: the request has run past the token at which its engine crashed."""
         with self._changed:
             if turn.key in self._records:
                 self._publish(turn.key, turn.record._replace(phase=Phase.CLEARED))
 
     def release(self, turn: Turn) -> None:
-        """End a turn that has shown nothing; the request stays suspect."""
+        """End a turn without a result; the request stays suspect."""
         with self._changed:
             if turn.key in self._records:
                 self._publish(turn.key, turn.record._replace(phase=Phase.SUSPECT))
 
     def note_crash(self, fingerprint: str, engine: str, turn: Turn | None) -> None:
-        """Take the death of ``engine`` under a request; raise `Refusal` if it is the cause.
+        """Record that ``engine`` crashed under a request; raises `Refusal` if that is the cause.
 
-        Peers are told here, before the request can run again.
+        The record is published before this returns, that is before the request can run
+        again.
         """
         with self._changed:
             self._forget_old()
@@ -130,7 +135,7 @@
         fingerprint = turn.record.fingerprint
         crashed_engines = tuple(dict.fromkeys((*turn.record.crashed_engines, engine)))
         if not alone:
-            # Only across a partition: neither side had heard of the other's turn.
+            # Happens only in a network partition, where the records of turns do not arrive.
             self._publish(
                 turn.key, turn.record._replace(phase=Phase.SUSPECT, crashed_engines=crashed_engines)
             )
@@ -139,14 +144,14 @@
             "quarantined", level="ERROR", fingerprint=fingerprint, died=",".join(crashed_engines)
         )
         quarantine = StoredQuarantine(fingerprint, QUARANTINE_SECONDS, crashed_engines)
-        # By a key of its own: a slot that is used again at once would replace it
-        # while a link still holds it back.
+        # Published under a key of its own: in a slot that is reused at once, a later
+        # record would replace it while a link still delays it.
         self._gossip.publish(QUARANTINE_TOPIC, fingerprint, quarantine)
         self._store.save(quarantine)
         raise _quarantine_refusal(QUARANTINE_SECONDS)
 
     def _await_turn(self, key: RecordKey, record: Record, deadline_at: float) -> bool:
-        """Return whether the turn came; False when the suspicion fell instead."""
+        """Return True once the turn begins, False if the request is no longer suspect."""
         settled_at = time.monotonic() + SETTLE_SECONDS
         while key in self._records:
             now = time.monotonic()
@@ -208,7 +213,7 @@
         return key
 
     def _publish(self, key: RecordKey, record: Record) -> None:
-        # The board calls `_on_entry` also with what this instance publishes.
+        # The gossip state also calls `_on_entry` with what this instance publishes.
         self._gossip.publish(SUSPECT_TOPIC, str(key.slot), record)
 
     def _on_entry(self, entry: Entry) -> None:
@@ -232,7 +237,7 @@
         self, fingerprint: str, seconds: float, crashed_engines: tuple[str, ...]
     ) -> None:
         self._quarantined[fingerprint] = Quarantined(time.monotonic() + seconds, crashed_engines)
-        # Whoever was suspect for these deaths alone is suspect no longer.
+        # Requests that were suspect only because of these crashes are no longer suspect.
         attributed = set(crashed_engines)
         self._drop(
             lambda r: r.fingerprint == fingerprint or attributed.issuperset(r.crashed_engines)
@@ -253,7 +258,8 @@
 
 
 def _rank(key: RecordKey, record: Record) -> tuple[int, str, RecordKey]:
-    # Fewest tokens first: most crashes come at once, and one that is found frees the rest.
+    # Fewest tokens first: most crashes come at the first tokens, and the cause, once found,
+    # clears the other suspects.
     return record.position, record.fingerprint, key
 
 
@@ -261,7 +267,7 @@
     return Refusal(
         422,
         "quarantined",
-        "upstreams died each time that this request ran; it is refused until it expires",
+        "upstreams crashed each time this request ran; it is refused until the quarantine expires",
         run=RunState.RUN,
         retry_after_seconds=seconds,
     )
@@ -271,7 +277,7 @@
     return Refusal(
         503,
         "suspect",
-        "its upstream died, and the deadline passed before it could be run by itself",
+        "the upstream crashed, and the deadline passed before the request could run alone",
         run=RunState.UNKNOWN,
         retry_after_seconds=RETRY_AFTER_SECONDS,
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/record.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/record.py
@@ -1,11 +1,11 @@
-"""What instances tell each other of requests under suspicion."""
+"""Records of suspect requests, as instances exchange them."""
 
 from enum import IntEnum
 from typing import NamedTuple
 
 
 class Phase(IntEnum):
-    """How far a suspicion is."""
+    """The state of a suspect request."""
 
     SUSPECT = 1
     WAITING = 2
@@ -20,8 +20,8 @@
 class Record(NamedTuple):
     """One run of the request ``fingerprint``.
 
-    ``died`` are the engines that ended under it, ``target`` the engine of its
-    turn, and ``position`` how many tokens its caller has.
+    ``crashed_engines`` crashed while they ran it, ``target`` is the engine of its turn,
+    and ``position`` the number of tokens that its caller has.
     """
 
     fingerprint: str
@@ -32,24 +32,24 @@
 
 
 class RecordKey(NamedTuple):
-    """The place of a record; an origin uses its slots again, so few entries are kept."""
+    """The key of a record; an instance reuses its slots to keep the number of entries low."""
 
     origin: str
     slot: int
 
 
 class SeenRecord(NamedTuple):
-    """A record and when it was seen, on the monotonic clock."""
+    """A record, and when it was received, on the monotonic clock."""
 
     record: Record
     seen_at: float
 
 
 class Turn(NamedTuple):
-    """The right of one suspect to run on an engine, alone among suspects.
+    """The right of one suspect to run on an engine while no other suspect runs there.
 
-    It is cleared once its caller has ``clear_at`` tokens: a crash that comes
-    with the request comes again by the token at which its engine died.
+    The request is cleared once its caller has ``clear_at`` tokens: if it causes crashes,
+    the engine crashes again at the latest at the token at which the last one did.
     """
 
     key: RecordKey
@@ -58,7 +58,7 @@
 
 
 class Quarantined(NamedTuple):
-    """A request that is refused until ``until``, on the monotonic clock."""
+    """A request that is refused until ``expires_at``, on the monotonic clock."""
 
     expires_at: float
     crashed_engines: tuple[str, ...]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/store.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/store.py
@@ -1,4 +1,4 @@
-"""Quarantines in the platform's table, for instances that start later."""
+"""Stores quarantines in the platform's table, for instances that start later."""
 
 import threading
 import time
@@ -15,9 +15,9 @@
 
 
 class StoredQuarantine(NamedTuple):
-    """A quarantine as it is told and stored; it holds for ``seconds`` from then on.
+    """A quarantine as it is published and loaded, with ``seconds`` until it expires.
 
-    Instances share no clock, so each counts from when it heard of it.
+    Instances share no clock, so each counts from when it received the quarantine.
     """
 
     fingerprint: str
@@ -26,21 +26,21 @@
 
 
 class QuarantineStore:
-    """Best effort: peers tell each other without the table.
+    """Saves and loads quarantines, best effort: peers also exchange them directly.
 
-    Rows bear the time of day at which they expire. Clocks that differ shift
-    that end and nothing else.
+    Rows contain the time of day at which they expire. If clocks differ, only that time
+    shifts.
     """
 
     def __init__(self, table: Table) -> None:
         self._table = table
 
     def save(self, quarantine: StoredQuarantine) -> None:
-        """Write a row in the background: no request waits for the platform."""
+        """Write a row in the background, so that no request waits for the platform."""
         threading.Thread(target=self._write, args=(quarantine,), daemon=True).start()
 
     def load(self) -> Iterator[StoredQuarantine]:
-        """Yield the rows that hold and delete the others; raise `PlatformError`."""
+        """Yield the quarantines in force and delete expired rows; raises `PlatformError`."""
         now = time.time()
         for key, row in self._table.scan(PREFIX).items():
             seconds = float(row.value["expires_at"]) - now
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Carries a request to upstreams and its answer back, whole or refused."""
+"""Relays requests to upstreams: each is answered completely or refused."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/generation.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/generation.py
@@ -1,4 +1,4 @@
-"""Carries a generation request to engines and its tokens back as one whole answer."""
+"""Relays generation requests to engines and their tokens to callers."""
 
 import threading
 import time
@@ -16,21 +16,21 @@
 
 
 class GenerationRelay:
-    """Starts a run for each request and takes care of callers that go away."""
+    """Starts a run for each request and handles callers that disconnect."""
 
     def __init__(self, parts: RunParts) -> None:
         self._parts = parts
 
     def note_arrival(self, request: GenerationRequest) -> None:
-        """Count ``request`` as demand, before admission takes or refuses it."""
+        """Count ``request`` as demand, before it is admitted or refused."""
         self._parts.router.note_arrival(request.unit.model)
 
     def run(self, request: GenerationRequest, span: Span) -> Iterator[StreamEvent]:
-        """Return the tokens of ``request``; the first one has already arrived.
+        """Return the events of ``request``, once the first one has arrived.
 
-        Raises `Refusal`, also from the iterator when nothing can continue the
-        answer. Closing the iterator says that the caller is gone: the engine's
-        work is cancelled, or let finish when it must not run a second time.
+        Raises `Refusal`, also from the iterator when no engine can continue the answer.
+        Close the iterator when the caller disconnects: the engine's work is then
+        cancelled, or runs to its end if the request must not run a second time.
         """
         started = time.monotonic()
         events = GenerationRun(request, span, self._parts).events()
@@ -42,8 +42,8 @@
 def _relay_until_disconnect(
     request: GenerationRequest, first: StreamEvent, events: Events
 ) -> Events:
-    # No `yield from`: closing this generator would close ``events`` with it, and a
-    # request that must not run twice has to be let finish.
+    # No `yield from`: closing this generator would also close ``events``, but a request
+    # that must not run twice has to run to its end.
     try:
         yield first
         for event in events:  # noqa: UP028 - see above
@@ -61,7 +61,7 @@
     if request.idempotent:
         events.close()
         return
-    # Not a daemon thread: a planned stop must not cut the work off either.
+    # Not a daemon thread: a planned stop must wait for this work too.
     threading.Thread(target=_drain, args=(request, events), name="drain").start()
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/plain.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/plain.py
@@ -1,4 +1,4 @@
-"""Carries a call to a plain service and its whole answer back."""
+"""Relays calls to plain services."""
 
 import time
 import uuid
@@ -27,13 +27,13 @@
 RETRY_AFTER_NO_UPSTREAM_SECONDS = 1.0
 RETRY_AFTER_FAILURE_SECONDS = 1.0
 MAX_ATTEMPTS = 3
-# How long a claimed call may go on past its caller's deadline, so that its
-# outcome is known to a repeat.
+# How long a claimed call may run past its caller's deadline, so that a repeat can get
+# its outcome.
 CLAIMED_GRACE_SECONDS = 60.0
 
 
 class PlainRequest(NamedTuple):
-    """A checked call; ``deadline_at`` is on the monotonic clock."""
+    """A validated call; ``deadline_at`` is on the monotonic clock."""
 
     request_id: str
     caller: str
@@ -48,7 +48,7 @@
 
 
 class PlainRelay:
-    """Runs one call; what may not run twice is sent once."""
+    """Relays calls; one that must not run twice is not sent again once it may have run."""
 
     def __init__(
         self,
@@ -71,10 +71,10 @@
         self._metrics = metrics
 
     def run(self, request: PlainRequest, span: Span) -> PlainAnswer:
-        """Return the whole answer; raise `Refusal`."""
+        """Return the complete answer; raises `Refusal`."""
         if request.idempotent or not request.idempotency_key:
             return self._send(request, span, grace_seconds=0.0)
-        # Without an upstream no claim is made: it would only be released again.
+        # Without an upstream no claim is made, as it would be released at once.
         if self._choose(request, []) is None:
             raise _no_upstream_refusal(request)
         key = ClaimKey(request.caller, request.service, request.idempotency_key)
@@ -88,7 +88,7 @@
         return Answer(*self._send(request, span, grace_seconds=CLAIMED_GRACE_SECONDS))
 
     def _send(self, request: PlainRequest, span: Span, *, grace_seconds: float) -> PlainAnswer:
-        """Send to one upstream after another for as long as the request allows it."""
+        """Send to one upstream after another until one answers or no retry is allowed."""
         failures: list[UpstreamError] = []
         while (member := self._next_member(request, failures)) is not None:
             try:
@@ -108,7 +108,7 @@
         if not repeatable or late or len(failures) >= MAX_ATTEMPTS:
             return None
         member = self._choose(request, failures)
-        # Taken last: what cannot be tried again must not use the budget up.
+        # The budget is taken last: a call that cannot be retried must not use it up.
         if member is None or (failures and not self._budget.take()):
             return None
         return member
@@ -137,14 +137,14 @@
 
 
 def _combined_run_state(failures: list[UpstreamError]) -> RunState:
-    """Return what is certain after all of ``failures``."""
+    """Return NOT_RUN if no failed attempt can have run the call, else UNKNOWN."""
     certain = all(error.run is RunState.NOT_RUN for error in failures)
     return RunState.NOT_RUN if certain else RunState.UNKNOWN
 
 
 def _failure_refusal(request: PlainRequest, failures: list[UpstreamError]) -> Refusal:
     run = _combined_run_state(failures)
-    # To come back with a call that may have run would run it twice.
+    # If the call may have run, a caller that retries could run it twice.
     repeatable = request.idempotent or run is RunState.NOT_RUN
     return Refusal(
         503,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/progress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/progress.py
@@ -1,8 +1,8 @@
-"""What the caller already has of an answer."""
+"""The part of an answer that the caller already has."""
 
 
 class Progress:
-    """``position`` tokens are delivered; a further attempt begins after them."""
+    """Counts delivered tokens in ``position``; another attempt continues after them."""
 
     __slots__ = ("position", "texts")
 
@@ -12,5 +12,5 @@
 
     @property
     def delivered(self) -> str:
-        """The text of all tokens delivered."""
+        """The text of all delivered tokens."""
         return "".join(self.texts)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/retry_budget.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/retry_budget.py
@@ -1,4 +1,4 @@
-"""How many attempts beyond the first an instance may make."""
+"""Bounds the retries of an instance."""
 
 import threading
 
@@ -8,10 +8,11 @@
 
 
 class RetryBudget:
-    """A token bucket that successes fill.
+    """A token bucket that is refilled by successful requests.
 
-    When every upstream fails nothing fills it, and the retries end: without it
-    each failing upstream would meet a multiple of the load that made it fail.
+    Guards against retry storms: when every upstream fails, the bucket runs empty and
+    retries stop. Otherwise the upstreams would receive a multiple of the load under
+    which they fail.
     """
 
     def __init__(self) -> None:
@@ -19,12 +20,12 @@
         self._retries = INITIAL_RETRIES
 
     def note_success(self) -> None:
-        """Count a whole answer."""
+        """Count a complete answer."""
         with self._lock:
             self._retries = min(MAX_RETRIES, self._retries + RETRIES_PER_SUCCESS)
 
     def take(self) -> bool:
-        """Return whether one more attempt may be made, and count it."""
+        """Count one more retry if it is allowed; return whether it is."""
         with self._lock:
             if self._retries < 1.0:
                 return False
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -1,4 +1,4 @@
-"""One generation request, from its first attempt to its last token."""
+"""Runs one generation request, from its first attempt to its last token."""
 
 import time
 import uuid
@@ -45,11 +45,12 @@
 TURN_PRIORITY = 0
 ENGINE_POLL_SECONDS = 0.1
 TOKENS_PER_TIMEOUT_UPDATE = 16
+# Weight of the latest gap between tokens in the moving mean.
 GAP_WEIGHT = 0.2
 
 
 class GenerationRun:
-    """Makes attempts until the answer is whole; used by one thread at a time."""
+    """Makes attempts until the answer is complete; used by one thread at a time."""
 
     def __init__(self, request: GenerationRequest, span: Span, parts: RunParts) -> None:
         self._request = request
@@ -65,7 +66,7 @@
         self._unit = request.unit
 
     def events(self) -> Events:
-        """Yield the whole answer; raise `Refusal` when nothing can continue it."""
+        """Yield the complete answer; raises `Refusal` when no engine can continue it."""
         self._parts.quarantine.check(self._request.fingerprint)
         while True:
             engine = self._acquire_engine()
@@ -81,7 +82,7 @@
                 self._release_turn()
 
     def _acquire_engine(self) -> EngineMember:
-        """Return the engine of the next attempt; a suspect has its turn there."""
+        """Return the engine of the next attempt; a suspect first waits for its turn there."""
         request, parts = self._request, self._parts
         while True:
             engine = self._choose_engine()
@@ -90,7 +91,7 @@
             )
             if self._turn is None or engine.id not in parts.reachability.unreachable():
                 return engine
-            # It died while the turn was awaited.
+            # The engine failed during the wait for the turn.
             self._release_turn()
 
     def _release_turn(self) -> None:
@@ -105,8 +106,8 @@
 
     def _choose_engine(self) -> EngineMember:
         engine = self._choose_untried_first()
-        # A cut answer cannot be asked for again where it broke off, so one that
-        # has begun waits for an engine; one that has not is refused at once.
+        # A caller cannot request the rest of a cut answer, so an answer that has begun
+        # waits for an engine. One that has not begun is refused at once.
         while engine is None and self._progress.position and not self._is_past_deadline():
             time.sleep(ENGINE_POLL_SECONDS)
             engine = self._choose_untried_first()
@@ -115,7 +116,7 @@
         return engine
 
     def _choose_untried_first(self) -> EngineMember | None:
-        """Return the best engine; those that failed this request come last."""
+        """Return the best engine; prefer those that have not failed this request."""
         shunned = self._parts.reachability.shunned()
         engine = self._route(self._failed | shunned)
         return engine or (self._route(shunned) if self._failed else None)
@@ -123,7 +124,7 @@
     def _route(self, excluded: set[str]) -> EngineMember | None:
         router, request = self._parts.router, self._request
         if self._progress.position:
-            # Only the version that began an answer can continue it.
+            # Only the model version that began an answer can continue it.
             view = router.choose_engine(str(self._unit), excluded)
             return view.member if view else None
         route = router.route(request.unit, request.prompt, excluded)
@@ -150,7 +151,7 @@
     def _attempt_with_resumes(
         self, engine: EngineMember, attempt: Attempt, headers: dict[str, str]
     ) -> Events:
-        """Yield the answer of one attempt over as many connections as it takes."""
+        """Yield the events of one attempt, and resume it on new connections when one breaks."""
         connect: Callable[[], EngineStream] = partial(self._start, engine, attempt, headers)
         stalled = 0
         for _ in range(MAX_RESUMES):
@@ -180,7 +181,7 @@
         return self._parts.client.resume(engine, attempt_id, position, headers, wait)
 
     def _relay_stream(self, stream: EngineStream) -> Events:
-        """Yield what comes over one connection, with the silence bound kept up to date."""
+        """Yield the events of one connection, and adapt its timeout to the gap between tokens."""
         progress, silence = self._progress, self._parts.silence
         mean_gap, until_update, last_at = 0.0, 1, 0.0
         clear_at = self._turn.clear_at if self._turn else -1
@@ -205,7 +206,11 @@
             yield event
 
     def _check_resume(self, engine: EngineMember, error: StreamBroken, stalled: int) -> None:
-        """Raise unless the attempt may be resumed on a new connection to ``engine``."""
+        """Raise unless the attempt may be resumed on a new connection to ``engine``.
+
+        A resume is taken from the retry budget only if the connection delivered no token
+        and did not end by going silent.
+        """
         parts = self._parts
         log_event(
             "stream_broken",
@@ -227,7 +232,7 @@
         parts.metrics.resumes.add(1, {"upstream": engine.id})
 
     def _probe(self, engine: EngineMember, error: StreamBroken) -> None:
-        """Raise when a new connection shows that the engine is dead or out of reach."""
+        """Raise if a new connection shows that the engine has crashed or is unreachable."""
         match self._parts.client.probe(engine):
             case Probe.REFUSED:
                 raise UpstreamCrashed(engine.id, error.detail, run=RunState.UNKNOWN)
@@ -237,10 +242,10 @@
     def _classify_unknown_attempt(
         self, error: AttemptUnknown, engine: EngineMember
     ) -> UpstreamError:
-        """Return the death of an engine that was started anew, else ``error``.
+        """Return `UpstreamCrashed` if the engine has restarted, else ``error``.
 
-        An engine that merely never heard of the attempt still holds its models;
-        one that has just started holds none yet.
+        In an engine that merely did not receive the attempt, the model is still
+        resident; one that has just started has no resident model yet.
         """
         try:
             residents = self._parts.control.report(engine).residents
@@ -248,10 +253,10 @@
             return error
         if any(r.ready and r.unit == str(self._unit) for r in residents):
             return error
-        return UpstreamCrashed(engine.id, "was started anew", run=RunState.UNKNOWN)
+        return UpstreamCrashed(engine.id, "the engine has restarted", run=RunState.UNKNOWN)
 
     def _after_failure(self, engine: EngineMember, error: UpstreamError) -> None:
-        """Return when another attempt may be made, else raise the final `Refusal`."""
+        """Record a failed attempt; raises the final `Refusal` if no retry is allowed."""
         self._failed.add(engine.id)
         if error.run is not RunState.NOT_RUN:
             self._state = error.run
@@ -279,8 +284,8 @@
             return False
         if self._is_past_deadline() or self._attempts >= MAX_ATTEMPTS:
             return False
-        # The loss of one engine breaks many answers at once that had been going well;
-        # each may continue. It cannot make a storm: a lost engine is met once.
+        # The loss of one engine breaks many healthy answers at once, and each may
+        # continue. This cannot cause a retry storm: a request meets a lost engine once.
         lost = isinstance(error, UpstreamCrashed | UpstreamUnreachable)
         if lost and self._lost_engines < MAX_LOST_ENGINES_WITHOUT_BUDGET:
             self._lost_engines += 1
@@ -303,7 +308,7 @@
             unit=str(self._unit),
             prompt=request.prompt,
             max_tokens=request.max_tokens,
-            # A turn holds up other suspects, so it does not queue behind everything else.
+            # A turn delays other suspects, so it does not queue behind other requests.
             priority=TURN_PRIORITY if self._turn else request.priority,
             skip=progress.position,
             delivered=progress.delivered,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run_parts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run_parts.py
@@ -1,4 +1,4 @@
-"""What every run of a generation request works with."""
+"""The parts of the daemon that runs of generation requests use."""
 
 from typing import NamedTuple
 
@@ -15,7 +15,7 @@
 
 
 class RunParts(NamedTuple):
-    """Shared by all runs of one instance."""
+    """Parts shared by all runs of an instance."""
 
     router: Router
     client: EngineClient
