--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
@@ -87,7 +87,7 @@
     def wait_for_turn(
         self, fingerprint: str, engine: str, position: int, deadline_at: float
     ) -> Turn | None:
-        """Wait for a suspect's turn; return None if the request is or becomes unsuspected.
+        """Wait for a suspect's turn; return None once the request is not (or no longer) suspect.
 
         Raises `Refusal` if it is quarantined or its deadline passes during the wait.
         """
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -73,7 +73,7 @@
             try:
                 yield from self._attempt(engine)
             except UpstreamError as error:
-                self._after_failure(engine, error)
+                self._handle_failure(engine, error)
             else:
                 self._parts.budget.note_success()
                 self._parts.metrics.tokens.add(self._progress.position)
@@ -255,7 +255,7 @@
             return error
         return UpstreamCrashed(engine.id, "the engine has restarted", run=RunState.UNKNOWN)
 
-    def _after_failure(self, engine: EngineMember, error: UpstreamError) -> None:
+    def _handle_failure(self, engine: EngineMember, error: UpstreamError) -> None:
         """Record a failed attempt; raises the final `Refusal` if no retry is allowed."""
         self._failed.add(engine.id)
         if error.run is not RunState.NOT_RUN:
--- a/packages/redwingscale-daemon/tests/functional/test_at_most_once.py
+++ b/packages/redwingscale-daemon/tests/functional/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-idempotent call runs at most once when instances are killed under it."""
+"""A non-idempotent call runs at most once although instances are killed."""
 
 import random
 import time
@@ -23,7 +23,7 @@
 
 
 class Bidders:
-    """Callers of the plain service, and what the service has recorded."""
+    """Calls the plain service, and reads which calls the service has run."""
 
     def __init__(self, deployment, text):
         self.deployment = deployment
@@ -67,9 +67,9 @@
 
 
 def test_instance_killed_between_claim_and_send(bidders):
-    """A caller's connection breaks because its instance was killed when the
-    claim was on its way to the table. The call never went out. A repeat cannot
-    know that: it is told `unknown`, and nothing is run."""
+    """An instance is killed while the table writes its claim, before it sends the call, and
+    the caller's connection breaks. The other instance cannot know that the call was not
+    sent, so a repeat is refused as `unknown`, and nothing is run."""
     bidders.deployment.set_faults("platform", slow_seconds=1.5)
     with ThreadPoolExecutor(1) as pool:
         first = pool.submit(bidders.bid, "one", "bid-1")
@@ -88,9 +88,9 @@
 
 
 def test_instance_killed_between_send_and_outcome(bidders):
-    """The service has run the call when the instance is killed: the caller sees
-    a broken connection, its repeat through the other instance is told
-    `unknown`, and the service has run it once."""
+    """An instance is killed after the service has run the call: the caller's connection
+    breaks, its repeat through the other instance is refused as `unknown`, and the service
+    has run the call once."""
     for member in PLAIN:
         bidders.deployment.set_faults(member, slow_seconds=2.0)
     with ThreadPoolExecutor(1) as pool:
@@ -106,10 +106,9 @@
 
 
 def test_no_bid_runs_twice_while_instances_are_killed(bidders):
-    """Callers repeat every bid that got no answer, through either instance,
-    while one instance after the other is killed and started again, and the
-    table loses replies. A key that ran twice is a doubled bid; one that ran
-    although its last word was `not_run` is a lie."""
+    """Callers repeat unanswered bids through either instance, while the table loses replies
+    and one instance after the other is killed and restarted. No key may run twice (a
+    doubled bid) or run although it was last refused as `not_run`."""
     rng = random.Random(4)
     keys = [f"bid-{n}" for n in range(40)]
     for member in PLAIN:
--- a/packages/redwingscale-daemon/tests/functional/test_quarantine_everywhere.py
+++ b/packages/redwingscale-daemon/tests/functional/test_quarantine_everywhere.py
@@ -1,4 +1,4 @@
-"""A request that crashes engines, sent through every instance of a real deployment."""
+"""A request that crashes engines is sent through every instance of a real deployment."""
 
 import json
 import time
@@ -47,12 +47,11 @@
 SPEED = Speed(weights_bytes_per_second=400e9, token_gap_seconds=0.01, report_lag_seconds=0.1)
 
 
-def test_two_engines_die_and_nobody_else_is_refused_or_cut(make_deployment):
-    """A trader's photograph crashes each engine that reads it; he sends it on and on.
+def test_two_engines_crash_and_no_other_request_is_refused_or_cut(make_deployment):
+    """A request that crashes each engine is sent until every instance refuses it for good.
 
-    He sends it through every instance in turn until each has given the final
-    answer. Two engines are lost at most, and descriptions that others read
-    meanwhile, on the same engines, all arrive whole.
+    It is sent through the instances in turn. Exactly two engines crash, and the answers
+    that other callers read meanwhile on the same engines are all complete.
     """
     deployment = make_deployment(SHAPE, SPEED)
     client = Client(deployment)
--- a/packages/redwingscale-daemon/tests/functional/test_whole_path.py
+++ b/packages/redwingscale-daemon/tests/functional/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A request goes through every instance of a deployment of real processes."""
+"""Requests through every instance of a deployment of real processes."""
 
 from redwingscale_standins.engine.generation import answer_text
 from redwingscale_standins.launcher.client import Client
@@ -7,7 +7,7 @@
 UNIT = "listing-vetter@v1"
 
 
-def test_every_instance_streams_a_whole_answer(make_deployment, izmir_text):
+def test_every_instance_streams_a_complete_answer(make_deployment, izmir_text):
     deployment = make_deployment(SHAPES_BY_NAME["izmir"])
     client = Client(deployment)
     instances = list(SHAPES_BY_NAME["izmir"].instances_by_id)
--- a/packages/redwingscale-daemon/tests/unit/relay/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/relay/conftest.py
@@ -1,4 +1,4 @@
-"""A relay of this process in front of engine stand-ins over real sockets."""
+"""Fixtures: relays in this process, connected to engine stand-ins over real sockets."""
 
 import queue
 import random
@@ -54,7 +54,7 @@
     cache_blocks=16,
     report_lag_seconds=0.0,
 )
-LEAST_SILENCE = 0.3
+MIN_SILENCE_SECONDS = 0.3
 CONTROL_SECONDS = 5.0
 
 
@@ -67,7 +67,7 @@
 
 
 class NoStore(QuarantineStore):
-    """Keeps nothing, as while the platform is down."""
+    """Stores nothing, as when the platform is down; notes what it was given."""
 
     def __init__(self) -> None:
         self.saved: list[str] = []
@@ -77,14 +77,14 @@
 
 
 class EngineProcess(NamedTuple):
-    """An engine stand-in that runs as a process of its own."""
+    """An engine stand-in in a separate process."""
 
     member: EngineMember
     process: ChildProcess
 
 
 class ShuffledRouter:
-    """Chooses at random among the engines not excluded."""
+    """Chooses at random among the engines that are not excluded."""
 
     def __init__(self, members: list[EngineMember]) -> None:
         self.members = members
@@ -122,7 +122,7 @@
 
 
 def text_of(events: Iterator[StreamEvent]) -> str:
-    """Read all events; fail on a gap, a repeat or a wrong end."""
+    """Return the text of all events; fail on a gap, a repeated token or a wrong total."""
     texts: list[str] = []
     ended = False
     for event in events:
@@ -164,7 +164,7 @@
 
 @pytest.fixture
 def start_processes(tmp_path: Path) -> Iterator[Callable[[int], dict[str, EngineProcess]]]:
-    """Start engine stand-ins as processes that a test may kill."""
+    """Start engine stand-ins as processes that a test can kill."""
     started: dict[str, EngineProcess] = {}
 
     def start(count: int) -> dict[str, EngineProcess]:
@@ -195,11 +195,11 @@
 
 @pytest.fixture
 def make_quarantines() -> Iterator[Callable[[int], list[Quarantine]]]:
-    """Build the quarantines of instances that tell each other everything."""
+    """Build the quarantines of instances that receive all of each other's entries."""
     entries: queue.Queue[Entry | None] = queue.Queue()
     gossip_states: list[GossipState] = []
 
-    def carry() -> None:
+    def deliver() -> None:
         for entry in iter(entries.get, None):
             for gossip in gossip_states:
                 gossip.accept(entry)
@@ -210,16 +210,16 @@
             gossip.on_forward(lambda entry, *_: entries.put(entry))
         return [Quarantine(f"instance-{n}", b, NoStore()) for n, b in enumerate(gossip_states)]
 
-    carrier = threading.Thread(target=carry, daemon=True)
-    carrier.start()
+    delivery_thread = threading.Thread(target=deliver, daemon=True)
+    delivery_thread.start()
     yield make
     entries.put(None)
-    carrier.join()
+    delivery_thread.join()
 
 
 @pytest.fixture
 def make_relay() -> Iterator[Callable[[list[EngineMember]], GenerationRelay]]:
-    """Build relays that reach the engines given."""
+    """Build relays to the given engines."""
     tracing, metrics = Tracing("test", ""), Metrics("")
 
     def make(members: list[EngineMember], quarantine: Quarantine | None = None) -> GenerationRelay:
@@ -230,7 +230,7 @@
             in_flight=InFlight(),
             reachability=Reachability(),
             budget=RetryBudget(),
-            silence=SilenceBounds(LEAST_SILENCE, 2.0),
+            silence=SilenceBounds(MIN_SILENCE_SECONDS, 2.0),
             quarantine=quarantine or Quarantine("test", GossipState("test"), NoStore()),
             tracing=tracing,
             metrics=metrics,
@@ -244,7 +244,7 @@
 
 @pytest.fixture
 def answer(make_relay) -> Callable[..., str]:
-    """Run one request over the engines given and return its whole text."""
+    """Run one request on the given engines and return its complete text."""
 
     def run(engines: list[RunningEngine], request: GenerationRequest) -> str:
         relay = make_relay([e.member for e in engines])
--- a/packages/redwingscale-daemon/tests/unit/relay/test_continuity.py
+++ b/packages/redwingscale-daemon/tests/unit/relay/test_continuity.py
@@ -1,4 +1,4 @@
-"""Answers that outlive their engine, and the bounds of what is tried for them."""
+"""Answers continue when engines fail or disconnect, within bounds on retries."""
 
 import http.client
 import signal
@@ -27,33 +27,33 @@
 TOKENS = 40
 
 
-def test_no_answer_shows_that_an_engine_was_killed(start_processes, make_relay):
-    """Callers read 210 streams while one of three engines is killed (kill -9).
+def test_answers_are_unaffected_by_a_killed_engine(start_processes, make_relay):
+    """One of three engines is killed (kill -9) while callers read 210 streams.
 
-    Each answer must be byte for byte the undisturbed one: the broken third is
-    continued elsewhere from the text that its caller already has.
+    Each answer must be byte for byte the same as without the crash: the broken third
+    continues on other engines after the text that its callers already have.
     """
     engines = start_processes(3)
     relay = make_relay([e.member for e in engines.values()])
-    begun = threading.Semaphore(0)
+    started = threading.Semaphore(0)
 
-    def ask(number: int) -> str:
+    def send(number: int) -> str:
         events = relay.run(new_request(f"lot {number}", TOKENS), INVALID_SPAN)
-        begun.release()
+        started.release()
         return text_of(events)
 
     with ThreadPoolExecutor(STREAMS) as pool:
-        answers = pool.map(ask, range(STREAMS))
+        answers = pool.map(send, range(STREAMS))
         for _ in range(STREAMS // 2):
-            assert begun.acquire(timeout=60.0)
+            assert started.acquire(timeout=60.0)
         engines["engine-0"].process.signal(signal.SIGKILL)
         assert list(answers) == [answer_text(str(UNIT), f"lot {n}", TOKENS) for n in range(STREAMS)]
 
 
-def test_attempts_stay_near_the_requests_when_every_engine_fails(start_engines, make_relay):
-    """Every engine cuts every stream before its first token, for 200 requests.
+def test_retries_are_bounded_when_every_engine_fails(start_engines, make_relay):
+    """Every engine cuts each of 200 requests' streams before its first token.
 
-    Callers are refused; the engines must not meet a multiple of the load.
+    Callers are refused, and the engines must not receive a multiple of the load.
     """
     engines = start_engines(3, truncate_after_tokens=0)
     relay = make_relay([e.member for e in engines])
@@ -66,11 +66,11 @@
     assert 200 < sum(s.started + s.resumed for s in streams) <= 200 + INITIAL_RETRIES < 240
 
 
-def test_request_that_may_not_run_twice_is_not_started_again(start_engines, make_relay):
-    """A register entry's first engine fails it after it may have acted.
+def test_non_idempotent_request_that_may_have_run_is_not_retried(start_engines, make_relay):
+    """An engine fails a register entry that it may have run.
 
-    The caller is told that the run is unknown; a second engine stands ready,
-    but must not run it.
+    The refusal says that the run is unknown, and the second engine must not run the
+    request although it could.
     """
     engines = start_engines(2, truncate_after_tokens=0)
     relay = make_relay([e.member for e in engines])
@@ -83,8 +83,8 @@
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_request_that_was_surely_not_run_is_retried(start_engines, make_relay, idempotent):
-    """One engine refuses, another's port is closed: neither has run anything."""
+def test_request_that_was_not_run_is_retried(start_engines, make_relay, idempotent):
+    """One engine refuses and the port of another is closed: neither has run the request."""
     engines = start_engines(2)
     engines[0].engine.faults.update({"refuse": True})
     closed = engine_member(9, "alder", 1)
@@ -96,8 +96,8 @@
         assert text == answer_text(str(UNIT), f"lot {number}", 5)
 
 
-def test_engine_is_told_when_the_caller_goes_away(start_engines, make_relay):
-    """A caller hangs up after three tokens; the engine's work is cancelled."""
+def test_disconnected_caller_cancels_the_engine_work(start_engines, make_relay):
+    """A caller disconnects after three tokens; the engine's work is cancelled."""
     engines = start_engines(1)
     relay = make_relay([engines[0].member])
     events = relay.run(new_request("lot 1", 10_000), INVALID_SPAN)
@@ -108,8 +108,8 @@
     assert engines[0].engine.streams.cancelled == 1
 
 
-def test_work_that_may_not_run_twice_is_let_finish(start_engines, make_relay):
-    """A caller hangs up while its register entry is written; the entry is finished."""
+def test_non_idempotent_work_is_finished_after_a_disconnect(start_engines, make_relay):
+    """A caller disconnects while its register entry is written; the entry is finished."""
     engines = start_engines(1)
     relay = make_relay([engines[0].member])
     events = relay.run(new_request("entry", 200, idempotent=False), INVALID_SPAN)
@@ -126,7 +126,7 @@
 
 @pytest.fixture
 def behind_middlebox(start_engines):
-    """Put a relay that can lose track of connections before the first of two engines."""
+    """Put a middlebox that can silently drop connections before the first of two engines."""
     engines = start_engines(2)
     port = int(engines[0].member.url.rpartition(":")[2])
     middlebox = SilentRelay(port)
@@ -135,10 +135,10 @@
     middlebox.close()
 
 
-def test_connection_that_goes_silent_is_left_for_a_new_one(behind_middlebox, make_relay):
-    """A middlebox loses track of a stream's connection; new connections work.
+def test_stream_on_a_silent_connection_is_resumed_on_a_new_one(behind_middlebox, make_relay):
+    """A middlebox loses the state of a stream's connection, but new connections work.
 
-    Nothing is closed and nothing arrives. The stream goes on over a new
+    The connection stays open and nothing arrives on it. The stream continues over a new
     connection to the same engine, which runs the request once.
     """
     engines, member, middlebox = behind_middlebox
@@ -151,10 +151,10 @@
     assert engines[0].engine.streams.resumed == 1
 
 
-def test_engine_that_is_cut_off_is_left_for_another(behind_middlebox, make_relay):
-    """A failure domain is cut off in mid-stream: new connections are silent as well.
+def test_stream_of_an_unreachable_engine_continues_on_another(behind_middlebox, make_relay):
+    """A failure domain is cut off in mid-stream, so new connections are silent as well.
 
-    The answer is continued in another domain, and nobody becomes suspect.
+    The answer continues in another domain, and no request becomes suspect.
     """
     engines, member, middlebox = behind_middlebox
     members = [member]
@@ -167,10 +167,10 @@
     assert engines[1].engine.streams.started == 1
 
 
-def test_answer_that_cannot_go_on_has_no_terminator(start_processes, make_relay):
-    """The only engine is killed in mid-stream; the caller sees a cut body.
+def test_answer_that_cannot_continue_has_no_terminating_chunk(start_processes, make_relay):
+    """The only engine is killed in mid-stream, so the caller must see a cut body.
 
-    A body with its chunked terminator would look like a whole, short answer.
+    A body with the terminating chunk would look like a complete, short answer.
     """
     [running] = start_processes(1).values()
     relay = make_relay([running.member])
@@ -197,11 +197,11 @@
 
 
 @pytest.mark.parametrize("number", [0, 1], ids=["alder", "birch"])
-def test_answer_that_lacks_only_its_end_is_ended_elsewhere(start_engines, number):
-    """An answer is refused in the end though its caller has every token.
+def test_answer_that_lacks_only_its_end_is_ended_by_another_engine(start_engines, number):
+    """An engine crashes after the last token, but before the end of the answer.
 
-    The engine dies between the last token and the end; the engine that goes on
-    has no token left to send, and its end has to count all of them.
+    The engine that continues has no token left to send, and the total in its end event
+    must count all tokens. Otherwise an answer whose caller has every token is refused.
     """
     member = start_engines(2)[number].member
     attempt = Attempt("a1", str(UNIT), "lot 1", 40, 5, 40, answer_text(str(UNIT), "lot 1", 40))
--- a/packages/redwingscale-daemon/tests/unit/relay/test_integrity.py
+++ b/packages/redwingscale-daemon/tests/unit/relay/test_integrity.py
@@ -1,4 +1,4 @@
-"""Answers of upstreams that err: the caller gets its own whole answer or an error."""
+"""Faulty streams: the caller gets its own complete answer or an error."""
 
 import pytest
 from opentelemetry.trace import INVALID_SPAN
@@ -18,16 +18,16 @@
     "silent before tokens": {"silent_after_tokens": 0},
 }
 
-# Before its first token the stand-in answers 500: there is no stream to resume.
+# The stand-in answers 500 before its first token, so there is no stream to resume.
 FAULTS_FROM_THE_START = FAULTS | {"cut before tokens": {"truncate_after_tokens": 0}}
 
 
 @pytest.mark.parametrize("fault", FAULTS.values(), ids=FAULTS)
-def test_disturbed_stream_is_resumed_without_a_seam(start_engines, answer, fault):
-    """A caller sees one whole answer although its stream broke.
+def test_faulty_stream_is_resumed_without_lost_tokens(start_engines, answer, fault):
+    """An engine's first stream is faulty, and the caller still gets one complete answer.
 
-    The engine errs in the first run of the attempt. The relay leaves that
-    connection, resumes by position on a new one, and drops nothing twice.
+    The relay closes the connection and resumes by position on a new one, without
+    losing or repeating a token.
     """
     engines = start_engines(1, **fault, disturbances=1)
     request = new_request("lot 1", 20)
@@ -39,8 +39,8 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS_FROM_THE_START.values(), ids=FAULTS_FROM_THE_START)
-def test_engine_that_always_errs_is_left_for_another(start_engines, answer, fault):
-    """A caller sees one whole answer although one of its two engines never works."""
+def test_request_of_a_faulty_engine_is_run_on_another(start_engines, answer, fault):
+    """One of two engines always fails, and the caller still gets one complete answer."""
     engines = start_engines(2)
     engines[0].engine.faults.update(fault)
     request = new_request("lot 2", 20)
@@ -51,10 +51,10 @@
 
 
 def test_answer_that_nothing_can_continue_ends_in_an_error(start_engines, make_relay):
-    """A caller sees an error, never a short answer that looks whole.
+    """A caller must get an error, not a short answer that looks complete.
 
-    The only engine sends events of another attempt from the fourth token of
-    every run on; resumes make no progress and no other engine is there.
+    From the fourth token on, the only engine always sends events of another attempt,
+    so resumes make no progress and no other engine can continue.
     """
     engines = start_engines(1, wrong_attempt=True)
     relay = make_relay([e.member for e in engines])
--- a/packages/redwingscale-daemon/tests/unit/relay/test_quarantine.py
+++ b/packages/redwingscale-daemon/tests/unit/relay/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash upstreams: two die at most, and nobody beside them suffers."""
+"""A request that crashes engines: at most two crash, and no other request is affected."""
 
 import signal
 import threading
@@ -18,7 +18,7 @@
 TOKENS = 60
 
 
-def _living(engines):
+def _running(engines):
     return [e for e in engines.values() if e.process.running]
 
 
@@ -26,37 +26,36 @@
     return time.monotonic() + 30.0
 
 
-def test_two_engines_die_at_most_and_no_bystander_suffers(
+def test_at_most_two_engines_crash_and_no_other_request_is_affected(
     start_processes, make_relay, make_quarantines
 ):
-    """A prompt that crashes its engine is sent again through every instance.
+    """A prompt that crashes its engine is sent repeatedly through every instance.
 
-    Streams of others run beside it on all engines. Two engines die; then the
-    sender gets its final answer at once everywhere, and every other stream is
-    byte for byte whole.
+    Other streams run on all engines. After two engines have crashed, every instance
+    refuses the prompt at once, and every other stream is byte for byte complete.
     """
     engines = start_processes(4)
     members = [e.member for e in engines.values()]
     relays = [make_relay(members, q) for q in make_quarantines(3)]
-    begun = threading.Semaphore(0)
+    started = threading.Semaphore(0)
 
-    def stand_by(number: int) -> str:
+    def send_bystander(number: int) -> str:
         request = new_request(f"lot {number}", TOKENS)
         events = relays[number % len(relays)].run(request, INVALID_SPAN)
-        begun.release()
+        started.release()
         return text_of(events)
 
     with ThreadPoolExecutor(BYSTANDERS) as pool:
-        answers = pool.map(stand_by, range(BYSTANDERS))
+        answers = pool.map(send_bystander, range(BYSTANDERS))
         for _ in range(BYSTANDERS):
-            assert begun.acquire(timeout=60.0)
+            assert started.acquire(timeout=60.0)
         codes = [_code_of(relay) for _ in range(2) for relay in relays]
         assert list(answers) == [
             answer_text(str(UNIT), f"lot {n}", TOKENS) for n in range(BYSTANDERS)
         ]
 
     assert codes == ["quarantined"] * len(codes)
-    assert len(_living(engines)) == 2
+    assert len(_running(engines)) == 2
 
 
 def _code_of(relay) -> str:
@@ -67,12 +66,14 @@
     return caught.value.code
 
 
-def test_engines_that_are_killed_condemn_nobody(start_processes, make_relay, make_quarantines):
-    """Two engines are killed one after the other under the same streams.
+def test_killed_engines_put_no_request_into_quarantine(
+    start_processes, make_relay, make_quarantines
+):
+    """Two engines are killed one after the other while they run the same streams.
 
-    Every stream of the first is suspect until its turn has passed; the second
-    death comes later, so it condemns none of them. All are answered, also when
-    they are sent again.
+    Every stream of the first is suspect until its turn has passed. The second crash comes
+    later, so it puts none of them into quarantine. All are answered, also when they are
+    sent again.
     """
     engines = list(start_processes(3).values())
     [quarantine] = make_quarantines(1)
@@ -80,7 +81,7 @@
     prompts = [f"lot {n}" for n in range(BYSTANDERS)]
     expected = [answer_text(str(UNIT), prompt, 250) for prompt in prompts]
 
-    def ask(prompt: str) -> str:
+    def send(prompt: str) -> str:
         return text_of(relay.run(new_request(prompt, 250), INVALID_SPAN))
 
     def wait_until_suspects(found: bool) -> None:
@@ -90,18 +91,18 @@
 
     deadline = _later()
     with ThreadPoolExecutor(BYSTANDERS) as pool:
-        answers = pool.map(ask, prompts)
+        answers = pool.map(send, prompts)
         for engine in engines[:2]:
             time.sleep(0.3)
             engine.process.signal(signal.SIGKILL)
             wait_until_suspects(found=True)
             wait_until_suspects(found=False)
         assert list(answers) == expected
-        assert list(pool.map(ask, prompts)) == expected
+        assert list(pool.map(send, prompts)) == expected
 
 
-def test_cut_connection_is_no_death(start_engines, make_relay, make_quarantines):
-    """A stream's connection is reset, but its engine lives: nobody becomes suspect."""
+def test_reset_connection_is_no_crash(start_engines, make_relay, make_quarantines):
+    """A stream's connection is reset but its engine runs on: no request becomes suspect."""
     engines = start_engines(1, reset_after_tokens=2, disturbances=1)
     [quarantine] = make_quarantines(1)
     relay = make_relay([engines[0].member], quarantine)
@@ -112,9 +113,9 @@
 
 
 def test_two_suspects_never_run_on_one_engine_at_once(make_quarantines):
-    """An engine dies under requests of two instances; both choose the same next one.
+    """An engine crashes under requests of two instances, which both choose the same engine.
 
-    The second waits until the first has shown that it is not the cause.
+    The second request waits until the first has shown that it is not the cause.
     """
     first, second = make_quarantines(2)
     first.note_crash("a", "engine-0", None)
@@ -131,9 +132,9 @@
 
 
 def test_one_suspect_never_runs_on_two_engines_at_once(make_quarantines):
-    """A suspect is sent again through another instance while its turn lasts.
+    """A suspect is sent again through another instance during its turn.
 
-    It may not run there as well: it could kill two engines at once.
+    It must not run there as well, as it could crash two engines at once.
     """
     first, second = make_quarantines(2)
     first.note_crash("a", "engine-0", None)
@@ -149,8 +150,8 @@
     assert caught.value.code == "quarantined"
 
 
-def test_cause_that_is_found_frees_the_others(make_quarantines):
-    """Once the request that killed both engines is known, the rest need no turns."""
+def test_found_cause_clears_the_other_suspects(make_quarantines):
+    """Once the request that crashed both engines is known, the others need no turns."""
     first, second = make_quarantines(2)
     second.note_crash("bystander", "engine-0", None)
     first.note_crash("a", "engine-0", None)
@@ -166,8 +167,8 @@
     assert second.wait_for_turn("bystander", "engine-2", 0, _later()) is None
 
 
-def test_turn_that_does_not_come_by_the_deadline_is_refused(make_quarantines):
-    """A suspect whose deadline passes in the queue gets its answer at the deadline."""
+def test_suspect_is_refused_if_its_turn_is_not_before_the_deadline(make_quarantines):
+    """A suspect whose deadline passes while it waits is refused at the deadline."""
     [quarantine] = make_quarantines(1)
     quarantine.note_crash("a", "engine-0", None)
 
--- a/packages/redwingscale-daemon/tests/unit/test_claims.py
+++ b/packages/redwingscale-daemon/tests/unit/test_claims.py
@@ -1,4 +1,4 @@
-"""A non-idempotent request runs at most once, whatever the table does."""
+"""A non-idempotent request runs at most once, whatever faults the table has."""
 
 import random
 import threading
@@ -31,13 +31,13 @@
 from redwingscale_daemon._internal.upstreams.plain_client import PlainClient
 from redwingscale_daemon._internal.upstreams.plain_state import PlainStates
 
-PLATFORM_TIMEOUT = 0.3
+PLATFORM_TIMEOUT_SECONDS = 0.3
 KEY = ClaimKey("portal", "register", "bid-1")
 http = urllib3.PoolManager(retries=False)
 
 
 class OneUpstream:
-    """A router that knows one upstream."""
+    """A router with one upstream."""
 
     def __init__(self, url):
         self._member = PlainMember("register-1", "a", False, url, "register")
@@ -50,7 +50,7 @@
     """The at-most-once parts of one instance."""
 
     def __init__(self, name, platform_url, plain_url, metrics):
-        platform = connect_platform(PlatformSettings(platform_url, PLATFORM_TIMEOUT), name)
+        platform = connect_platform(PlatformSettings(platform_url, PLATFORM_TIMEOUT_SECONDS), name)
         self.table = platform.table
         self.committer = Committer(platform.table, max_pause_seconds=0.02)
         self.settler = Settler(self.committer, platform.table)
@@ -67,7 +67,7 @@
             3600,
             metrics,
         )
-        self.once = Once(self.claims, PLATFORM_TIMEOUT + 0.2)
+        self.once = Once(self.claims, PLATFORM_TIMEOUT_SECONDS + 0.2)
         self.relay = PlainRelay(
             OneUpstream(plain_url),
             PlainClient(1.0),
@@ -132,10 +132,9 @@
 
 
 @pytest.mark.parametrize("padding", [0, 10_000])
-def test_repeat_through_another_instance_gets_the_kept_answer(nodes, plain_url, padding):
-    """A caller loses its answer and sends again through another instance: it
-    gets the first answer, from the row or from the object store, and the
-    service has run once."""
+def test_repeat_through_another_instance_gets_the_stored_answer(nodes, plain_url, padding):
+    """A caller loses its answer and repeats the call through another instance: it gets
+    the first answer, from the row or from the object store, and the service has run once."""
     set_faults(plain_url, padding_bytes=padding)
 
     first = nodes[0].call("bid-1")
@@ -154,10 +153,10 @@
     assert runs_by_key(plain_url) == {"bid-1": 1}
 
 
-def test_repeat_while_the_first_sending_runs_is_told_unknown(nodes, plain_url):
-    """The first sending is still at the service when its caller asks again
-    through another instance: the repeat is refused at once as unknown with a
-    time to come back, and later gets the answer of the first."""
+def test_repeat_during_the_first_call_is_refused_as_unknown(nodes, plain_url):
+    """The first call is still running when its caller repeats it through another instance:
+    the repeat is refused at once as unknown, with a time to retry, and a later one gets
+    the answer of the first."""
     set_faults(plain_url, slow_seconds=1.0)
     with ThreadPoolExecutor(1) as pool:
         first = pool.submit(nodes[0].call, "bid-1")
@@ -171,12 +170,12 @@
     assert runs_by_key(plain_url) == {"bid-1": 1}
 
 
-def test_call_past_its_deadline_goes_on_and_its_outcome_is_kept(nodes, plain_url):
-    """The service answers after the deadline: the caller is told `unknown` on
-    time, the call is not cut, and a repeat gets its outcome."""
+def test_call_past_its_deadline_continues_and_its_outcome_is_stored(nodes, plain_url):
+    """The service answers after the deadline: the caller is refused as `unknown` at the
+    deadline, the call is not cancelled, and a repeat gets its outcome."""
     set_faults(plain_url, slow_seconds=3.0)
 
-    # The claim must be written within the deadline, also on a machine that is busy.
+    # Long enough to write the claim within the deadline on a busy machine.
     refusal = nodes[0].refusal("bid-1", seconds=1.5)
     nodes[1].wait_for_state("bid-1", "done")
 
@@ -185,9 +184,9 @@
     assert runs_by_key(plain_url) == {"bid-1": 1}
 
 
-def test_table_down_is_refused_as_not_run(nodes, platform_url, plain_url):
-    """The table is down: the call is refused at once as not run, with the time
-    to come back, and runs when the caller does so after the outage."""
+def test_call_is_refused_as_not_run_while_the_table_is_down(nodes, platform_url, plain_url):
+    """The table is down: the call is refused at once as not run, with a time to retry,
+    and a repeat after the outage runs."""
     set_faults(platform_url, down=True)
 
     refusal = nodes[0].refusal("bid-1")
@@ -199,11 +198,11 @@
     assert nodes[1].call("bid-1").status == 200
 
 
-def test_repeat_where_it_was_sent_is_unknown_while_the_table_is_down(
+def test_repeat_at_the_same_instance_is_unknown_while_the_table_is_down(
     nodes, platform_url, plain_url
 ):
-    """The call ran, then the table goes down and the caller repeats it through
-    the same instance: to say `not_run` there would be false."""
+    """The call ran, the table is down and the caller repeats the call through the same
+    instance: a refusal as `not_run` would be wrong."""
     nodes[0].call("bid-1")
     set_faults(platform_url, down=True)
 
@@ -211,8 +210,8 @@
 
 
 def test_lost_reply_to_the_claim_write_runs_the_call_once(nodes, platform_url, plain_url):
-    """The claim write takes effect but its reply is lost: the row's write id
-    shows that the claim is ours, and the call runs as if nothing had been."""
+    """The claim write takes effect but its reply is lost: the row's write id shows that
+    this instance made the claim, and the call runs."""
     set_faults(platform_url, lose_replies=1)
 
     answer = nodes[0].call("bid-1")
@@ -222,9 +221,9 @@
 
 
 def test_claim_that_nobody_waited_for_is_withdrawn(nodes, platform_url, plain_url):
-    """The table is so slow that the claim takes effect after its request was
-    refused as not run. Unless it is withdrawn, every repeat is told `unknown`
-    for good although nothing ran."""
+    """The table is so slow that the claim takes effect after its request was refused as
+    not run. Unless the claim is withdrawn, every repeat is refused as `unknown` although
+    nothing ran."""
     set_faults(platform_url, slow_seconds=0.8)
     refusal = nodes[0].refusal("bid-1", seconds=1.0)
     set_faults(platform_url, slow_seconds=0.0)
@@ -236,9 +235,9 @@
     assert runs_by_key(plain_url) == {"bid-1": 1}
 
 
-def test_refused_by_the_service_may_run_again(nodes, plain_url):
-    """The service says that it did not run the call: the caller is told so, and
-    a repeat through another instance runs."""
+def test_call_that_the_service_refused_may_be_repeated(nodes, plain_url):
+    """The service answers that it did not run the call: the refusal says so, and a repeat
+    through another instance runs."""
     set_faults(plain_url, refuse=True)
     refusal = nodes[0].refusal("bid-1")
     set_faults(plain_url)
@@ -247,9 +246,9 @@
     assert nodes[1].call("bid-1").status == 200
 
 
-def test_lost_answer_of_the_service_is_never_sent_again(nodes, plain_url):
-    """The service runs the call and its answer is lost: `unknown`, now and for
-    every repeat, and the service has run once."""
+def test_call_whose_answer_was_lost_is_not_sent_again(nodes, plain_url):
+    """The service runs the call and its answer is lost: the call and each repeat are
+    refused as `unknown`, and the service has run once."""
     set_faults(plain_url, lose_reply=True)
     first = nodes[0].refusal("bid-1")
     set_faults(plain_url)
@@ -260,9 +259,9 @@
     assert runs_by_key(plain_url) == {"bid-1": 1}
 
 
-def test_outcome_is_kept_after_an_outage(nodes, platform_url, plain_url):
-    """The table goes down between the claim and the outcome: the caller still
-    gets its answer, and a repeat after the outage gets the same."""
+def test_outcome_is_stored_after_an_outage(nodes, platform_url, plain_url):
+    """The table goes down between claim and outcome: the caller still gets its answer, and
+    a repeat after the outage gets the same one."""
     set_faults(plain_url, slow_seconds=0.5)
     with ThreadPoolExecutor(1) as pool:
         first = pool.submit(nodes[0].call, "bid-1")
@@ -277,15 +276,15 @@
 
 
 def test_claim_of_a_newer_release_is_left_alone(nodes, plain_url):
-    """During an upgrade a newer instance has claimed the key in a shape that this
-    one cannot read: the repeat is told `unknown`, and nothing runs."""
+    """During an upgrade a newer instance has claimed the key in a format that this one
+    cannot decode: the repeat is refused as `unknown`, and nothing runs."""
     nodes[0].table.put_if(KEY.row, {"state": "later"}, 0)
 
     assert nodes[0].refusal("bid-1").run == "unknown"
     assert runs_by_key(plain_url) == {}
 
 
-def test_one_key_at_once_through_both_instances_runs_once(nodes, plain_url):
+def test_concurrent_calls_with_one_key_run_once(nodes, plain_url):
     barrier = threading.Barrier(16)
 
     def send(number):
@@ -303,9 +302,9 @@
     assert runs_by_key(plain_url) == {"bid-1": 1}
 
 
-def test_generation_goes_on_when_its_caller_goes_away(nodes):
-    """A caller of a non-idempotent generation leaves in mid-stream: the
-    generation is let finish and a repeat gets all of its tokens."""
+def test_generation_continues_when_its_caller_disconnects(nodes):
+    """The caller of a non-idempotent generation disconnects in mid-stream: the generation
+    is finished, and a repeat gets all of its tokens."""
     sent = []
 
     def start():
@@ -326,9 +325,9 @@
     assert sent == list(range(5))
 
 
-def test_batch_with_a_taken_key_still_claims_the_others(nodes):
-    """One key of a batch is taken already: only that one is refused, the other
-    claims of the same transaction are made."""
+def test_batch_with_a_claimed_key_still_claims_the_others(nodes):
+    """One key of a batch is claimed already: only its write fails, and the other claims of
+    the same transaction are made."""
     nodes[0].claims.complete(nodes[0].claims.open(KEY, "f", 5.0), Answer(200, "t", b"a"))
 
     def claim(number):
@@ -342,9 +341,9 @@
     assert len(nodes[0].table.scan(CLAIM_PREFIX)) == 32
 
 
-def test_claims_are_deleted_when_their_time_is_past(nodes, platform_url):
-    """Claims are swept by the index of their expiry: those of the past go, a key
-    that was claimed later stays, and a sweep cut off by a lost reply goes on."""
+def test_expired_claims_are_deleted(nodes, platform_url):
+    """The sweep deletes expired claims by the expiry index, leaves a key that was claimed
+    later, and continues after a lost reply has interrupted it."""
     sweeper = nodes[1]
     old, new = (KEY._replace(idempotency_key=key).row for key in ("old", "new"))
     nodes[0].call("old")
@@ -370,11 +369,10 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_history_under_table_faults_runs_no_key_twice(nodes, platform_url, plain_url, seed):
-    """Callers repeat through both instances while the table loses replies, goes
-    down and is slow, and the service refuses and loses answers. A key that ran
-    twice is a doubled bid; a `not_run` for a key that ran is a lie; two
-    different answers for one key are a mixed-up receipt."""
+def test_no_key_runs_twice_under_table_faults(nodes, platform_url, plain_url, seed):
+    """Callers repeat calls through both instances while the table loses replies, goes down
+    and is slow, and the service refuses calls and loses answers. No key may run twice (a
+    doubled bid), be refused as `not_run` although it ran, or get two different answers."""
     rng = random.Random(seed)
     keys = [f"bid-{seed}-{n}" for n in range(24)]
     answers = {key: set() for key in keys}
--- a/packages/redwingscale-daemon/tests/unit/test_plain_retries.py
+++ b/packages/redwingscale-daemon/tests/unit/test_plain_retries.py
@@ -1,4 +1,4 @@
-"""Calls to plain services are tried again only where that cannot run them twice."""
+"""Calls to plain services are retried only if that cannot run them twice."""
 
 import time
 
@@ -19,7 +19,7 @@
 
 
 class Upstreams:
-    """Three upstreams; ``ends`` says how each attempt ends, the last one for all others."""
+    """Three upstreams; ``ends`` lists how attempts end, the last entry for all further ones."""
 
     def __init__(self, *ends):
         self.tried = []
@@ -68,15 +68,15 @@
 ANSWER = PlainAnswer(200, "text/plain", b"done")
 
 
-def test_refused_connection_is_tried_elsewhere(send):
+def test_refused_connection_is_retried_at_another_upstream(send):
     upstreams = Upstreams(RunState.NOT_RUN, ANSWER)
     assert send(upstreams, idempotent=False) == ANSWER
     assert upstreams.tried == ["p1", "p2"]
 
 
 def test_call_that_may_have_run_is_sent_once(send):
-    """The service may have run the call when its answer broke off: to send it
-    again would enter it twice, and so would a caller that is told to come back."""
+    """The answer broke off after the service may have run the call: neither a retry nor a
+    caller that is told to retry may run it twice."""
     upstreams = Upstreams(RunState.UNKNOWN, ANSWER)
     with pytest.raises(Refusal) as caught:
         send(upstreams, idempotent=False)
@@ -84,15 +84,15 @@
     assert upstreams.tried == ["p1"]
 
 
-def test_failure_to_connect_after_an_unknown_one_is_still_unknown(send):
-    """The first upstream may have run the call, the others were not reached: the
-    last failure alone would read as not run."""
+def test_failed_connection_after_an_unknown_outcome_stays_unknown(send):
+    """The first upstream may have run the call and the others were not reached: the refusal
+    must not be based on the last failure alone, which says `not_run`."""
     with pytest.raises(Refusal) as caught:
         send(Upstreams(RunState.UNKNOWN, RunState.NOT_RUN), idempotent=True)
     assert caught.value.run == "unknown"
 
 
-def test_retries_end_when_every_upstream_fails(send):
+def test_retries_stop_when_every_upstream_fails(send):
     upstreams = Upstreams(RunState.NOT_RUN)
     for _ in range(REQUESTS):
         with pytest.raises(Refusal):
