--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/retention.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/retention.py
@@ -30,7 +30,7 @@
     A scan over all claims would read millions of rows. Instead, each instance writes
     from time to time which rows expire in which bucket of time, and the sweep reads
     only the buckets that have passed. Claims that an instance had not yet written to
-    the index when it was killed are never deleted.
+    the index when it was killed stay in the table.
     """
 
     def __init__(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/settler.py
@@ -22,7 +22,7 @@
 from redwingscale_daemon._internal.store.table import Table
 
 MAX_QUEUED_JOBS = 4096
-PAUSE_SECONDS = 0.5
+RETRY_PAUSE_SECONDS = 0.5
 WRITE_TIMEOUT_SECONDS = 10.0
 
 
@@ -90,7 +90,7 @@
                     self._jobs.popleft()
                     self._condition.notify_all()
             else:
-                time.sleep(PAUSE_SECONDS)
+                time.sleep(RETRY_PAUSE_SECONDS)
 
     def _next_job(self) -> Ending | _Withdrawal | None:
         with self._condition:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
@@ -105,7 +105,7 @@
             return Turn(key, record, position + CLEARING_TOKENS)
 
     def clear(self, turn: Turn) -> None:
-        """End a turn: the request has run past the token at which its engine crashed."""
+        """End a turn: the request has ended, or run past the token at which its engine crashed."""
         with self._changed:
             if turn.key in self._records:
                 self._publish(turn.key, turn.record._replace(phase=Phase.CLEARED))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/record.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/record.py
@@ -5,7 +5,7 @@
 
 
 class Phase(IntEnum):
-    """The state of a suspect request."""
+    """The state of a suspect: it waits for a turn, runs in it, and is cleared or still suspect."""
 
     SUSPECT = 1
     WAITING = 2
--- a/packages/redwingscale-daemon/tests/functional/test_at_most_once.py
+++ b/packages/redwingscale-daemon/tests/functional/test_at_most_once.py
@@ -124,7 +124,7 @@
             if answer.status == 200:
                 return ("answered", key)
             if answer.document["run"] == "not_run" and bidders.runs()[key] > before:
-                return ("lie", key)
+                return ("wrong_refusal", key)
         return ("open", key)
 
     def send_while_killing(victim, some_keys):
@@ -140,6 +140,6 @@
 
     results = send_while_killing("one", keys[:30]) + send_while_killing("two", keys[10:])
 
-    assert [r for r in results if r[0] == "lie"] == []
+    assert [r for r in results if r[0] == "wrong_refusal"] == []
     assert max(bidders.runs().values()) == 1
-    assert len({key for what, key in results if what == "answered"}) >= 30
+    assert len({key for outcome, key in results if outcome == "answered"}) >= 30
