--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/frame.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/frame.py
@@ -19,17 +19,17 @@
 class Frame(NamedTuple):
     """One heartbeat with what else there is to tell.
 
-    ``beat`` is the sender's own heartbeat, which only rises. ``heard`` is the
-    last beat of the receiver that reached the sender directly: it acknowledges
-    the link in the other direction. ``heartbeats`` relays the heartbeats of other
-    instances of the sender's failure domain as (beat id, beat).
+    ``heartbeat`` is the sender's own heartbeat, which only rises. ``acknowledged`` is the
+    last heartbeat of the receiver that reached the sender directly: it acknowledges
+    the link in the other direction. ``relayed_heartbeats`` has the heartbeats of other
+    instances of the sender's failure domain as (heartbeat id, heartbeat).
     """
 
     sender: str
     failure_domain: str
-    beat: int
-    heard: int
-    heartbeats: list[tuple[int, int]] = []
+    heartbeat: int
+    acknowledged: int
+    relayed_heartbeats: list[tuple[int, int]] = []
     messages: list[Message] = []
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
@@ -13,11 +13,11 @@
 from redwingscale_daemon._internal.membership.frame import Frame, encode_frame
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.heartbeat_clock import (
-    BEATS_PER_SECOND,
+    HEARTBEAT_NUMBERS_PER_SECOND,
     HeartbeatClock,
 )
 from redwingscale_daemon._internal.membership.message import Entries, Hello, Message
-from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, beat_id
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, heartbeat_id
 from redwingscale_daemon._internal.membership.summary import SETTLED_SECONDS, root_of
 from redwingscale_daemon._internal.membership.traffic import Traffic
 from redwingscale_daemon._internal.utils.periodic import Periodic
@@ -59,7 +59,7 @@
     """Pushes heartbeats and messages to one peer, and redials when it is silent.
 
     A ``Push0`` whose connection has gone silent takes every send and none
-    arrives. Only the peer can tell: its own frames acknowledge the last beat
+    arrives. Only the peer can tell: its own frames acknowledge the last heartbeat
     that it heard from here. When no acknowledgement rises for a few heartbeats
     the link is dropped with its socket and dialled anew, which also mends a
     cut of one direction only.
@@ -75,7 +75,7 @@
         self._lock = threading.Lock()
         self._pending: dict[EntryKey, Entry] = {}
         self._messages: list[Message] = []
-        self._beats_shared: dict[int, int] = {}
+        self._relayed_by_id: dict[int, int] = {}
         self._socket: pynng.Push0 | None = None
         self._full_cycle_at = 0.0
         self._fresh = True
@@ -129,15 +129,15 @@
                 if waiting is not None and not waiting.is_newer_than(entry):
                     del self._pending[entry.entry_key]
 
-    def received_beats(self, heartbeats: Iterable[tuple[int, int]]) -> None:
-        """Do not relay back beats that the peer has just relayed."""
-        for key, beat in heartbeats:
-            self._beats_shared[key] = max(beat, self._beats_shared.get(key, 0))
+    def note_relayed(self, heartbeats: Iterable[tuple[int, int]]) -> None:
+        """Do not relay back heartbeats that the peer has just relayed."""
+        for key, heartbeat in heartbeats:
+            self._relayed_by_id[key] = max(heartbeat, self._relayed_by_id.get(key, 0))
 
-    def acknowledge(self, beat: int) -> None:
-        """Note that the peer has heard ``beat`` of this instance."""
-        if beat > self._acknowledged:
-            self._acknowledged = beat
+    def acknowledge(self, heartbeat: int) -> None:
+        """Note that the peer has heard ``heartbeat`` of this instance."""
+        if heartbeat > self._acknowledged:
+            self._acknowledged = heartbeat
             self._acknowledged_at = time.monotonic()
             self._patience = 1
 
@@ -187,7 +187,7 @@
             sender.failure_domain,
             sender.clock.now(),
             sender.heartbeats.latest(self.peer),
-            self._due_beats() if self._inside else [],
+            self._due_heartbeats() if self._inside else [],
             messages,
         )
         data = encode_frame(frame, sender.key)
@@ -204,15 +204,17 @@
         self._failing = True
         self._close()
 
-    def _due_beats(self) -> list[tuple[int, int]]:
-        """Return the beats that rose enough since this link last carried them."""
-        step = int(min(RELAY_SECONDS, 2 * self._sender.timing.heartbeat) * BEATS_PER_SECOND)
-        own = (beat_id(self._sender.instance), beat_id(self.peer))
-        shared = self._beats_shared
+    def _due_heartbeats(self) -> list[tuple[int, int]]:
+        """Return the heartbeats that rose enough since this link last carried them."""
+        step = int(
+            min(RELAY_SECONDS, 2 * self._sender.timing.heartbeat) * HEARTBEAT_NUMBERS_PER_SECOND
+        )
+        own = (heartbeat_id(self._sender.instance), heartbeat_id(self.peer))
+        shared = self._relayed_by_id
         due = [
-            (key, beat)
-            for key, beat in self._sender.heartbeats.relayed()
-            if beat >= shared.get(key, 0) + step and key not in own
+            (key, heartbeat)
+            for key, heartbeat in self._sender.heartbeats.relayed()
+            if heartbeat >= shared.get(key, 0) + step and key not in own
         ]
         shared.update(due)
         return due
@@ -230,5 +232,5 @@
         self._socket = None
         self._fresh = True
         self._full_cycle_at = 0.0
-        self._beats_shared.clear()
+        self._relayed_by_id.clear()
         self._acknowledged_at = time.monotonic()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/mesh.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/mesh.py
@@ -96,14 +96,14 @@
         inside = frame.failure_domain == sender.failure_domain
         if frame.sender == sender.instance:
             raise FrameRejected("the sender bears this instance's own id")
-        if not sender.heartbeats.receive(frame.sender, frame.beat, inside=inside):
+        if not sender.heartbeats.receive(frame.sender, frame.heartbeat, inside=inside):
             raise FrameRejected(f"replayed frame of {frame.sender}")
-        sender.clock.raise_above(frame.heard)
+        sender.clock.raise_above(frame.acknowledged)
         link = self._links_by_peer.get(frame.sender)
         if link is not None:
-            link.acknowledge(frame.heard)
+            link.acknowledge(frame.acknowledged)
         if inside:
-            self._take_beats(frame.heartbeats, link)
+            self._receive_relayed(frame.relayed_heartbeats, link)
         for message in frame.messages:
             self._take_message(frame, message)
 
@@ -135,10 +135,10 @@
         for thread in ending:
             thread.join()
 
-    def _take_beats(self, heartbeats: list[tuple[int, int]], link: Link | None) -> None:
+    def _receive_relayed(self, heartbeats: list[tuple[int, int]], link: Link | None) -> None:
         self._sender.heartbeats.relay(heartbeats)
         if link is not None:
-            link.received_beats(heartbeats)
+            link.note_relayed(heartbeats)
 
     def _take_message(self, frame: Frame, message: Message) -> None:
         peer = frame.sender
@@ -237,7 +237,7 @@
     def _is_dead(self, peer: str) -> bool:
         silent = self._sender.heartbeats.silent_seconds(peer)
         limit = DEAD_HEARTBEATS * self._sender.timing.heartbeat
-        # Beats across failure domains come only over links, so silence tells nothing there.
+        # Heartbeats across failure domains come only over links, so silence tells nothing there.
         return limit < silent < float("inf") and self._neighbourhood.is_inside(peer)
 
     def _link_to(self, wanted: dict[str, tuple[str, bool, bool]]) -> None:
--- a/packages/redwingscale-daemon/tests/unit/control/test_membership.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_membership.py
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.membership.heartbeat_clock import HeartbeatClock
 from redwingscale_daemon._internal.membership.message import Hello
 from redwingscale_daemon._internal.membership.neighbourhood import build_neighbourhood
-from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, beat_id
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, heartbeat_id
 from redwingscale_daemon._internal.models.member import InstanceMember
 
 INSTANCES = 9
@@ -101,7 +101,7 @@
     """
     A middlebox forgets the connection from a to b. Both ends stay connected
     and every send of a succeeds, but b hears nothing more. a must notice that
-    its beats are no longer acknowledged, dial anew and tell what was lost.
+    its heartbeats are no longer acknowledged, dial anew and tell what was lost.
     """
     relay = make_relay()
     a, b = make_node("a"), make_node("b", relay=relay)
@@ -170,7 +170,7 @@
 
     a.control.mesh.take(chose)
     assert a.control.mesh.linked() == ["b", "z"]
-    a.control.mesh.take(chose._replace(beat=2, messages=[Hello("tcp://127.0.0.1:1", False)]))
+    a.control.mesh.take(chose._replace(heartbeat=2, messages=[Hello("tcp://127.0.0.1:1", False)]))
 
     assert a.control.mesh.linked() == ["b"]
 
@@ -183,7 +183,7 @@
     """
     node = make_node("a")
     key = names.key.encode()
-    forged = Frame("b", "a", 1, 0, [(beat_id("c"), 10**6)])
+    forged = Frame("b", "a", 1, 0, [(heartbeat_id("c"), 10**6)])
     bad = [b"", b"x" * 100, encode_frame(forged, b"another key"), encode_frame((1, 2), key)]
     with pynng.Push0(dial=node.url, send_timeout=5000) as stranger:
         for data in bad:
@@ -212,7 +212,7 @@
     wait_for(lambda: b.knows("a", "after"), "later entries arrive")
 
 
-def test_a_replayed_beat_does_not_revive_a_dead_peer():
+def test_a_replayed_heartbeat_does_not_revive_a_dead_peer():
     """
     Somebody records frames of an instance and sends them again after it died.
     Its peers would go on waiting for it in place of taking over.
@@ -221,16 +221,16 @@
     assert heartbeats.receive("b", 5, inside=True)
 
     assert not heartbeats.receive("b", 4, inside=True)
-    heartbeats.relay([(beat_id("b"), 5)])
-    heard = heartbeats._heard_by_id[beat_id("b")]
+    heartbeats.relay([(heartbeat_id("b"), 5)])
+    heard = heartbeats._latest_by_id[heartbeat_id("b")]
     heartbeats.receive("b", 5, inside=True)
 
-    assert heartbeats._heard_by_id[beat_id("b")] == heard
+    assert heartbeats._latest_by_id[heartbeat_id("b")] == heard
 
 
-def test_beats_rise_above_those_of_a_former_life_with_a_clock_ahead():
+def test_heartbeats_rise_above_those_of_a_former_life_with_a_clock_ahead():
     """
-    An instance restarts with its clock set back. Peers take its beats for old
+    An instance restarts with its clock set back. Peers take its heartbeats for old
     ones and would hold it for dead until the clock catches up.
     """
     clock = HeartbeatClock()
