--- a/benchmarks/lib/control_node.py
+++ b/benchmarks/lib/control_node.py
@@ -64,7 +64,7 @@
         "frames_sent": traffic.frames_sent,
         "frames_received": traffic.frames_received,
         "redials": traffic.redials,
-        "links": len(control.mesh.linked()),
+        "links": len(control.mesh.linked_peers()),
         "entries": len(control.gossip.stored_entries()),
         "versions": observed.versions,
         "silent": {
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/control.py
@@ -51,7 +51,7 @@
         timing=LinkTiming(timing.heartbeat, timing.full_cycle),
     )
     mesh = Mesh(sender, peers.seeds, lambda: peers.url or listener.url)
-    listener = Listener(peers.host, peers.port, sender.key, mesh.take, traffic)
+    listener = Listener(peers.host, peers.port, sender.key, mesh.receive, traffic)
     members = Members(platform.members)
     members.on_change(mesh.update)
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_rosters.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_rosters.py
@@ -37,7 +37,7 @@
 
     def ask(self) -> None:
         """Ask every linked peer that has not answered."""
-        for peer in self._mesh.linked():
+        for peer in self._mesh.linked_peers():
             if peer not in self._rosters_by_peer:
                 self._mesh.send_direct(peer, TOPIC, msgspec.msgpack.encode(None))
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_texts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_texts.py
@@ -54,7 +54,7 @@
 
     def ask(self, peers: set[str], version: int) -> None:
         """Ask one linked peer of ``peers``, another one each time."""
-        linked = [peer for peer in self._mesh.linked() if peer in peers]
+        linked = [peer for peer in self._mesh.linked_peers() if peer in peers]
         if linked:
             peer = linked[next(self._turn) % len(linked)]
             self._send(peer, Ask(version))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/summary.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/anti_entropy.py
@@ -11,43 +11,43 @@
 from collections.abc import Iterable, Sequence
 
 from redwingscale_daemon._internal.membership.entry import Entry
-from redwingscale_daemon._internal.membership.known import BUCKETS, Known
 from redwingscale_daemon._internal.membership.message import Buckets, Root, Versions
+from redwingscale_daemon._internal.membership.stored_entry import BUCKETS, StoredEntry
 
 SETTLED_SECONDS = 5.0
 
 
-def root_of(known: Iterable[Known], settled: float) -> Root:
+def make_root(stored: Iterable[StoredEntry], settled_seconds: float) -> Root:
     """Return one hash over all entries that have settled."""
-    hashes = _bucket_hashes(known, settled)
-    return Root(settled, functools.reduce(operator.xor, hashes))
+    hashes = _bucket_hashes(stored, settled_seconds)
+    return Root(settled_seconds, functools.reduce(operator.xor, hashes))
 
 
-def buckets_of(known: Iterable[Known], settled: float) -> Buckets:
+def make_buckets(stored: Iterable[StoredEntry], settled_seconds: float) -> Buckets:
     """Return the hash of each bucket."""
-    return Buckets(settled, _bucket_hashes(known, settled))
+    return Buckets(settled_seconds, _bucket_hashes(stored, settled_seconds))
 
 
-def versions_of(known: Sequence[Known], theirs: Buckets) -> Versions | None:
+def make_versions(stored: Sequence[StoredEntry], theirs: Buckets) -> Versions | None:
     """Return what is held here in the buckets that differ; None when none does."""
-    ours = _bucket_hashes(known, theirs.settled)
+    ours = _bucket_hashes(stored, theirs.settled_seconds)
     differing = {i for i, (a, b) in enumerate(zip(ours, theirs.hashes, strict=False)) if a != b}
     if not differing:
         return None
-    return Versions(sorted(differing), [k.tag for k in known if k.bucket in differing])
+    return Versions(sorted(differing), [k.tag for k in stored if k.bucket in differing])
 
 
-def missing_from(known: Iterable[Known], theirs: Versions) -> list[Entry]:
+def find_missing(stored: Iterable[StoredEntry], theirs: Versions) -> list[Entry]:
     """Return the entries held here that the sender of ``theirs`` does not have."""
     buckets = set(theirs.buckets)
     tags = set(theirs.tags)
-    return [k.entry for k in known if k.bucket in buckets and k.tag not in tags]
+    return [k.entry for k in stored if k.bucket in buckets and k.tag not in tags]
 
 
-def _bucket_hashes(known: Iterable[Known], settled: float) -> list[int]:
+def _bucket_hashes(stored: Iterable[StoredEntry], settled_seconds: float) -> list[int]:
     hashes = [0] * BUCKETS
-    horizon = time.monotonic() - settled
-    for item in known:
-        if item.seen_at <= horizon:
+    horizon = time.monotonic() - settled_seconds
+    for item in stored:
+        if item.stored_at <= horizon:
             hashes[item.bucket] ^= item.tag
     return hashes
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/gossip_state.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/gossip_state.py
@@ -9,10 +9,10 @@
 from redwingscale_common.utils.logs import log_event
 
 from redwingscale_daemon._internal.membership.entry import Entry, EntryKey
-from redwingscale_daemon._internal.membership.known import Known, known_now
+from redwingscale_daemon._internal.membership.stored_entry import StoredEntry, make_stored_entry
 
 Subscriber = Callable[[Entry], None]
-FORGOTTEN_ORIGINS = 4096
+MAX_FORGOTTEN_ORIGINS = 4096
 
 
 class GossipState:
@@ -22,7 +22,7 @@
         self._lock = threading.Lock()
         self._instance = instance
         self._sequence = itertools.count(1)
-        self._known: dict[EntryKey, Known] = {}
+        self._stored_by_key: dict[EntryKey, StoredEntry] = {}
         self._forgotten_boots: dict[str, int] = {}
         self._subscribers: dict[str, list[Subscriber]] = {}
         self._forward: list[Callable[[Entry], None]] = []
@@ -46,28 +46,28 @@
         ``source`` is the peer that told it, empty for this instance's own.
         """
         if source and entry.origin == self._instance:
-            self._outdo(entry)
+            self._republish_above(entry)
             return False
         with self._lock:
-            known = self._known.get(entry.entry_key)
-            if not entry.is_newer_than(known.entry if known else None):
+            stored = self._stored_by_key.get(entry.entry_key)
+            if not entry.is_newer_than(stored.entry if stored else None):
                 return False
             if entry.boot <= self._forgotten_boots.get(entry.origin, -1):
                 return False
-            self._known[entry.entry_key] = known_now(entry)
+            self._stored_by_key[entry.entry_key] = make_stored_entry(entry)
         for forward in self._forward:
             forward(entry)
-        self._tell(entry)
+        self._notify(entry)
         return True
 
     def entries(self, topic: str | None = None) -> list[Entry]:
         """Return all entries known, or those of ``topic``."""
         return [k.entry for k in self.stored_entries() if topic is None or k.entry.topic == topic]
 
-    def stored_entries(self) -> list[Known]:
+    def stored_entries(self) -> list[StoredEntry]:
         """Return all entries with what is kept beside them."""
         with self._lock:
-            return list(self._known.values())
+            return list(self._stored_by_key.values())
 
     def forget_origins(self, keep: set[str], seconds: float) -> None:
         """Drop the entries of origins outside ``keep`` that told nothing for ``seconds``.
@@ -78,16 +78,16 @@
         horizon = time.monotonic() - seconds
         with self._lock:
             newest: dict[str, float] = {}
-            for item in self._known.values():
+            for item in self._stored_by_key.values():
                 origin = item.entry.origin
-                newest[origin] = max(newest.get(origin, 0.0), item.seen_at)
+                newest[origin] = max(newest.get(origin, 0.0), item.stored_at)
             gone = {o for o, at in newest.items() if at < horizon and o not in keep}
             gone.discard(self._instance)
-            for key in [k for k in self._known if k.origin in gone]:
-                boot = self._known.pop(key).entry.boot
+            for key in [k for k in self._stored_by_key if k.origin in gone]:
+                boot = self._stored_by_key.pop(key).entry.boot
                 forgotten = self._forgotten_boots.get(key.origin, -1)
                 self._forgotten_boots[key.origin] = max(boot, forgotten)
-            excess = len(self._forgotten_boots) - FORGOTTEN_ORIGINS
+            excess = len(self._forgotten_boots) - MAX_FORGOTTEN_ORIGINS
             for origin in list(self._forgotten_boots)[: max(0, excess)]:
                 del self._forgotten_boots[origin]
 
@@ -95,7 +95,7 @@
         sequence = next(self._sequence)
         self.accept(Entry(self._instance, topic, key, self.boot, sequence, payload))
 
-    def _outdo(self, entry: Entry) -> None:
+    def _republish_above(self, entry: Entry) -> None:
         """Answer an own entry of a later boot, left over from before the clock was set back.
 
         The peers would refuse everything that this process publishes as older
@@ -105,12 +105,14 @@
             if entry.boot <= self.boot:
                 return
             self.boot = entry.boot + 1
-            own = [k.entry for k in self._known.values() if k.entry.origin == self._instance]
+            own = [
+                k.entry for k in self._stored_by_key.values() if k.entry.origin == self._instance
+            ]
         log_event("boot_raised", level="WARNING", boot=self.boot)
         for item in own:
             self._publish(item.topic, item.key, item.payload)
 
-    def _tell(self, entry: Entry) -> None:
+    def _notify(self, entry: Entry) -> None:
         for subscriber in self._subscribers.get(entry.topic, []):
             try:
                 subscriber(entry)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
@@ -9,6 +9,7 @@
 from redwingscale_common.utils.digests import rendezvous_score
 from redwingscale_common.utils.logs import log_event
 
+from redwingscale_daemon._internal.membership.anti_entropy import SETTLED_SECONDS, make_root
 from redwingscale_daemon._internal.membership.entry import Entry, EntryKey
 from redwingscale_daemon._internal.membership.frame import Frame, encode_frame
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
@@ -18,21 +19,20 @@
 )
 from redwingscale_daemon._internal.membership.message import Entries, Hello, Message
 from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, heartbeat_id
-from redwingscale_daemon._internal.membership.summary import SETTLED_SECONDS, root_of
 from redwingscale_daemon._internal.membership.traffic import Traffic
 from redwingscale_daemon._internal.utils.periodic import Periodic
 
 SEND_TIMEOUT_MS = 500
-BATCH_ENTRIES = 128
+MAX_BATCH_ENTRIES = 128
 # Entries that come together go out together: a burst costs one frame, not one each.
 COALESCE_SECONDS = 0.02
 # Each direction of a link waits a time of its own, so that the two ends, which learn
 # of an entry at nearly the same time, do not both send it to each other.
 STAGGER_SECONDS = 0.13
-SILENT_HEARTBEATS = 4
-LONGEST_PATIENCE = 8
+SILENCE_TIMEOUT_HEARTBEATS = 4
+MAX_TIMEOUT_FACTOR = 8
 SCORE_LIMIT = 1 << 64
-RELAY_SECONDS = 2.5
+MAX_RELAY_INTERVAL_SECONDS = 2.5
 
 
 class LinkTiming(NamedTuple):
@@ -66,22 +66,22 @@
     """
 
     def __init__(
-        self, sender: Sender, peer: str, url: str, own_url: str, *, inside: bool, chosen: bool
+        self, sender: Sender, peer: str, url: str, own_url: str, *, same_domain: bool, chosen: bool
     ) -> None:
         self._sender = sender
         self._own_url = own_url
         self._chosen = chosen
-        self._inside = inside
+        self._same_domain = same_domain
         self._lock = threading.Lock()
         self._pending: dict[EntryKey, Entry] = {}
         self._messages: list[Message] = []
         self._relayed_by_id: dict[int, int] = {}
         self._socket: pynng.Push0 | None = None
         self._full_cycle_at = 0.0
-        self._fresh = True
+        self._is_new_connection = True
         self._acknowledged = 0
         self._acknowledged_at = time.monotonic()
-        self._patience = 1
+        self._timeout_factor = 1
         self._failing = False
         share = rendezvous_score(sender.instance, peer) / SCORE_LIMIT
         self._delay_seconds = COALESCE_SECONDS + STAGGER_SECONDS * share
@@ -103,7 +103,7 @@
             self._send([Hello(self._own_url, False)])
         self._close()
 
-    def choose(self, chosen: bool) -> None:
+    def set_chosen(self, chosen: bool) -> None:
         """Tell the peer at once when this end begins or ceases to choose the link."""
         if chosen != self._chosen:
             self._chosen = chosen
@@ -121,7 +121,7 @@
             self._messages.append(message)
         self._task.wake()
 
-    def received(self, entries: Iterable[Entry]) -> None:
+    def drop_pending(self, entries: Iterable[Entry]) -> None:
         """Do not send back what the peer has just told."""
         with self._lock:
             for entry in entries:
@@ -139,7 +139,7 @@
         if heartbeat > self._acknowledged:
             self._acknowledged = heartbeat
             self._acknowledged_at = time.monotonic()
-            self._patience = 1
+            self._timeout_factor = 1
 
     def _step(self) -> None:
         if self._pending:
@@ -151,13 +151,13 @@
             self._send(more)
 
     def _redial_if_silent(self) -> None:
-        limit = self._sender.timing.heartbeat * SILENT_HEARTBEATS * self._patience
+        limit = self._sender.timing.heartbeat * SILENCE_TIMEOUT_HEARTBEATS * self._timeout_factor
         if time.monotonic() - self._acknowledged_at < limit:
             return
         log_event("link_silent", level="WARNING", peer=self.peer, url=self.url)
-        self._sender.traffic.redialled()
+        self._sender.traffic.count_redial()
         # A dead peer is dialled less and less often, up to a bound.
-        self._patience = min(self._patience * 2, LONGEST_PATIENCE)
+        self._timeout_factor = min(self._timeout_factor * 2, MAX_TIMEOUT_FACTOR)
         self._close()
 
     def _due_messages(self) -> list[list[Message]]:
@@ -165,20 +165,22 @@
             entries = list(self._pending.values())
             self._pending.clear()
             first, self._messages = self._messages, []
-        first = self._cycle() + first
-        chunks = [entries[i : i + BATCH_ENTRIES] for i in range(0, len(entries), BATCH_ENTRIES)]
+        first = self._full_cycle() + first
+        chunks = [
+            entries[i : i + MAX_BATCH_ENTRIES] for i in range(0, len(entries), MAX_BATCH_ENTRIES)
+        ]
         batches: list[list[Message]] = [[Entries(chunk)] for chunk in chunks]
         return [first, *batches] if first else batches
 
-    def _cycle(self) -> list[Message]:
+    def _full_cycle(self) -> list[Message]:
         now = time.monotonic()
         if now < self._full_cycle_at:
             return []
         self._full_cycle_at = now + self._sender.timing.full_cycle
-        settled = 0.0 if self._fresh else SETTLED_SECONDS
-        self._fresh = False
+        settled_seconds = 0.0 if self._is_new_connection else SETTLED_SECONDS
+        self._is_new_connection = False
         hello = Hello(self._own_url, self._chosen)
-        return [hello, root_of(self._sender.gossip.stored_entries(), settled)]
+        return [hello, make_root(self._sender.gossip.stored_entries(), settled_seconds)]
 
     def _send(self, messages: list[Message]) -> None:
         sender = self._sender
@@ -187,13 +189,13 @@
             sender.failure_domain,
             sender.clock.now(),
             sender.heartbeats.latest(self.peer),
-            self._due_heartbeats() if self._inside else [],
+            self._due_heartbeats() if self._same_domain else [],
             messages,
         )
         data = encode_frame(frame, sender.key)
         try:
             self._open().send(data)
-            sender.traffic.sent(len(data))
+            sender.traffic.count_sent(len(data))
             self._failing = False
         except pynng.NNGException as error:
             self._fail(error)
@@ -207,7 +209,8 @@
     def _due_heartbeats(self) -> list[tuple[int, int]]:
         """Return the heartbeats that rose enough since this link last carried them."""
         step = int(
-            min(RELAY_SECONDS, 2 * self._sender.timing.heartbeat) * HEARTBEAT_NUMBERS_PER_SECOND
+            min(MAX_RELAY_INTERVAL_SECONDS, 2 * self._sender.timing.heartbeat)
+            * HEARTBEAT_NUMBERS_PER_SECOND
         )
         own = (heartbeat_id(self._sender.instance), heartbeat_id(self.peer))
         shared = self._relayed_by_id
@@ -230,7 +233,7 @@
         if self._socket is not None:
             self._socket.close()
         self._socket = None
-        self._fresh = True
+        self._is_new_connection = True
         self._full_cycle_at = 0.0
         self._relayed_by_id.clear()
         self._acknowledged_at = time.monotonic()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/listener.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/listener.py
@@ -11,11 +11,11 @@
 from redwingscale_daemon._internal.membership.traffic import Traffic
 
 RECEIVE_TIMEOUT_MS = 500
-FRAME_BYTES = 8 << 20
-REJECTED_LOG_SECONDS = 10.0
+MAX_FRAME_BYTES = 8 << 20
+REJECTED_LOG_INTERVAL_SECONDS = 10.0
 WILDCARD_HOSTS = ("0.0.0.0", "[::]")
 
-Take = Callable[[Frame], None]
+TakeFrame = Callable[[Frame], None]
 
 
 class Listener:
@@ -25,11 +25,11 @@
     link has gone silent is heard, where ``Pair0`` would refuse it.
     """
 
-    def __init__(self, host: str, port: int, key: bytes, take: Take, traffic: Traffic) -> None:
+    def __init__(self, host: str, port: int, key: bytes, take: TakeFrame, traffic: Traffic) -> None:
         self._key = key
         self._take = take
         self._traffic = traffic
-        self._socket = pynng.Pull0(recv_timeout=RECEIVE_TIMEOUT_MS, recv_max_size=FRAME_BYTES)
+        self._socket = pynng.Pull0(recv_timeout=RECEIVE_TIMEOUT_MS, recv_max_size=MAX_FRAME_BYTES)
         self._host = host
         self._address = f"tcp://{host}:{port}"
         self._stopped = False
@@ -69,7 +69,7 @@
             self._receive(data)
 
     def _receive(self, data: bytes) -> None:
-        self._traffic.received(len(data))
+        self._traffic.count_received(len(data))
         try:
             self._take(decode_frame(data, self._key))
         except Exception as error:
@@ -78,10 +78,10 @@
             self._reject(error)
 
     def _reject(self, error: Exception) -> None:
-        self._traffic.rejected()
+        self._traffic.count_rejected()
         now = time.monotonic()
         # A stranger that sends without end must not fill the log.
-        if now - self._rejected_logged_at < REJECTED_LOG_SECONDS:
+        if now - self._rejected_logged_at < REJECTED_LOG_INTERVAL_SECONDS:
             return
         self._rejected_logged_at = now
         count = self._traffic.frames_rejected
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/message.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/message.py
@@ -25,14 +25,14 @@
 class Root(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """Hash over all entries that have been known for ``settled`` seconds."""
 
-    settled: float
+    settled_seconds: float
     root: int
 
 
 class Buckets(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """Hash of each bucket of entries: the answer to a `Root` that differs."""
 
-    settled: float
+    settled_seconds: float
     hashes: list[int]
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/neighbourhood.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/neighbourhood.py
@@ -4,11 +4,11 @@
 from typing import NamedTuple
 
 from redwingscale_daemon._internal.membership.rings import (
-    RING_ACROSS,
-    RINGS_INSIDE,
+    CROSS_DOMAIN_RING,
+    DOMAIN_RING_COUNT,
     Skip,
+    make_ring,
     neighbours,
-    ring,
 )
 from redwingscale_daemon._internal.models.member import InstanceMember
 
@@ -17,9 +17,9 @@
     """The rings over one list of instances; rebuilt when the list changes."""
 
     instance: str
-    domains_by_instance: dict[str, str]
-    rings_inside: tuple[tuple[str, ...], ...]
-    ring_across: tuple[str, ...]
+    domain_by_instance: dict[str, str]
+    domain_rings: tuple[tuple[str, ...], ...]
+    cross_domain_ring: tuple[str, ...]
 
     def choose(self, dead: Skip) -> set[str]:
         """Return the peers to link to.
@@ -28,17 +28,19 @@
         are silent, so that a cut that ends is noticed; beside them the nearest
         living ones keep the ring closed around the ``dead``.
         """
-        return self._around(lambda peer: False) | self._around(dead)
+        return self._choose_neighbours(lambda peer: False) | self._choose_neighbours(dead)
 
-    def is_inside(self, peer: str) -> bool:
+    def is_same_domain(self, peer: str) -> bool:
         """Return whether ``peer`` is of the own failure domain."""
-        return self.domains_by_instance.get(peer) == self.domains_by_instance[self.instance]
+        return self.domain_by_instance.get(peer) == self.domain_by_instance[self.instance]
 
-    def _around(self, skip: Skip) -> set[str]:
+    def _choose_neighbours(self, skip: Skip) -> set[str]:
         chosen = neighbours(
-            self.ring_across, self.instance, lambda peer: self.is_inside(peer) or skip(peer)
+            self.cross_domain_ring,
+            self.instance,
+            lambda peer: self.is_same_domain(peer) or skip(peer),
         )
-        for order in self.rings_inside:
+        for order in self.domain_rings:
             chosen |= neighbours(order, self.instance, skip)
         return chosen
 
@@ -48,6 +50,6 @@
 ) -> Neighbourhood:
     """Return the rings over ``peers`` and the instance itself."""
     domains = {p.id: p.failure_domain for p in peers} | {instance: failure_domain}
-    inside = [i for i, domain in domains.items() if domain == failure_domain]
-    rings = tuple(tuple(ring(f"inside-{n}", inside)) for n in range(RINGS_INSIDE))
-    return Neighbourhood(instance, domains, rings, tuple(ring(RING_ACROSS, domains)))
+    same_domain = [i for i, domain in domains.items() if domain == failure_domain]
+    rings = tuple(tuple(make_ring(f"inside-{n}", same_domain)) for n in range(DOMAIN_RING_COUNT))
+    return Neighbourhood(instance, domains, rings, tuple(make_ring(CROSS_DOMAIN_RING, domains)))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/peer_heartbeats.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/peer_heartbeats.py
@@ -34,10 +34,10 @@
         self._direct_by_peer: dict[str, _Received] = {}
         self._relayed_ids: set[int] = set()
 
-    def receive(self, peer: str, heartbeat: int, *, inside: bool) -> bool:
+    def receive(self, peer: str, heartbeat: int, *, same_domain: bool) -> bool:
         """Take a heartbeat that ``peer`` sent itself; return False for a replayed one.
 
-        ``inside`` tells whether the peer is of the own failure domain; only
+        ``same_domain`` tells whether the peer is of the own failure domain; only
         such heartbeats are relayed.
         """
         with self._lock:
@@ -47,7 +47,7 @@
             if known is None or heartbeat > known.heartbeat:
                 self._direct_by_peer[peer] = _Received(heartbeat, time.monotonic())
             self._note_higher(heartbeat_id(peer), heartbeat, time.monotonic())
-            if inside:
+            if same_domain:
                 self._relayed_ids.add(heartbeat_id(peer))
             return True
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/rings.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/rings.py
@@ -13,11 +13,11 @@
 from redwingscale_common.utils.digests import rendezvous_score
 
 Skip = Callable[[str], bool]
-RINGS_INSIDE = 2
-RING_ACROSS = "across"
+DOMAIN_RING_COUNT = 2
+CROSS_DOMAIN_RING = "across"
 
 
-def ring(name: str, instances: Iterable[str]) -> list[str]:
+def make_ring(name: str, instances: Iterable[str]) -> list[str]:
     """Return ``instances`` in the order of the ring ``name``."""
     return sorted(instances, key=lambda i: (rendezvous_score(name, i), i))
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/known.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/stored_entry.py
@@ -10,20 +10,20 @@
 HASH_BYTES = 8
 
 
-class Known(NamedTuple):
-    """``tag`` hashes key and version; ``seen_at`` is on the monotonic clock."""
+class StoredEntry(NamedTuple):
+    """``tag`` hashes key and version; ``stored_at`` is on the monotonic clock."""
 
     entry: Entry
     tag: int
     bucket: int
-    seen_at: float
+    stored_at: float
 
 
-def known_now(entry: Entry) -> Known:
+def make_stored_entry(entry: Entry) -> StoredEntry:
     """Return ``entry`` as known from this moment on."""
     key = "\0".join(entry.entry_key)
     version = f"{key}\0{entry.boot}\0{entry.sequence}"
-    return Known(entry, _hash(version), _hash(key) % BUCKETS, time.monotonic())
+    return StoredEntry(entry, _hash(version), _hash(key) % BUCKETS, time.monotonic())
 
 
 def _hash(text: str) -> int:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/traffic.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/traffic.py
@@ -15,24 +15,24 @@
         self.frames_rejected = 0
         self.redials = 0
 
-    def sent(self, size: int) -> None:
+    def count_sent(self, size: int) -> None:
         """Count a frame of ``size`` bytes out."""
         with self._lock:
             self.frames_sent += 1
             self.bytes_sent += size
 
-    def received(self, size: int) -> None:
+    def count_received(self, size: int) -> None:
         """Count a frame of ``size`` bytes in."""
         with self._lock:
             self.frames_received += 1
             self.bytes_received += size
 
-    def rejected(self) -> None:
+    def count_rejected(self) -> None:
         """Count a frame that was dropped."""
         with self._lock:
             self.frames_rejected += 1
 
-    def redialled(self) -> None:
+    def count_redial(self) -> None:
         """Count a link that was silent and got a fresh socket."""
         with self._lock:
             self.redials += 1
--- a/packages/redwingscale-daemon/tests/unit/control/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/control/conftest.py
@@ -15,7 +15,7 @@
 
 HOST = "127.0.0.1"
 KEY = "key-of-the-peers-in-tests"
-PATIENCE_SECONDS = 30.0
+WAIT_TIMEOUT_SECONDS = 30.0
 TIMING = {
     "configuration_poll": 0.2,
     "member_poll": 0.2,
@@ -82,10 +82,10 @@
         self.control.mesh.stop()
         self.control.listener.stop()
 
-    def hears(self, peer, seconds=1.0):
+    def sees(self, peer, seconds=1.0):
         return self.control.heartbeats.silent_seconds(peer) < seconds
 
-    def knows(self, origin, key):
+    def has_entry(self, origin, key):
         entries = self.control.gossip.entries("test")
         return any(e.origin == origin and e.key == key for e in entries)
 
@@ -147,7 +147,7 @@
     """Poll a condition until it holds; fail after a bound that no machine should need."""
 
     def wait(condition, what="condition"):
-        deadline = time.monotonic() + PATIENCE_SECONDS
+        deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
         while not condition():
             assert time.monotonic() < deadline, f"not reached: {what}"
             time.sleep(0.02)
--- a/packages/redwingscale-daemon/tests/unit/control/test_configuration_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_configuration_spread.py
@@ -94,7 +94,7 @@
     fresh = make_node("fresh", seeds=[stale.url], listed=False)
     fresh.run()
 
-    wait_for(lambda: fresh.hears("i0") and fresh.control.versions.by_instance(), "stale is heard")
+    wait_for(lambda: fresh.sees("i0") and fresh.control.versions.by_instance(), "stale is heard")
     wait_for(lambda: "of the 3" in fresh.control.current.waiting_for(), "it tells of the others")
     for _ in range(5):
         fresh.control.current.refresh()
@@ -165,23 +165,23 @@
     for node in (a, b):
         node.run()
     apply(1)
-    wait_for(lambda: version(a) == version(b) == 1 and a.hears("b") and b.hears("a"), "joined")
+    wait_for(lambda: version(a) == version(b) == 1 and a.sees("b") and b.sees("a"), "joined")
     for relay in relays:
         relay.cut()
     platform.faults.cut_instances = {"a"}
-    wait_for(lambda: not a.hears("b") and not b.hears("a"), "cut")
+    wait_for(lambda: not a.sees("b") and not b.sees("a"), "cut")
 
     apply(2)
     a.control.gossip.publish("test", "of a", 1)
     b.control.gossip.publish("test", "of b", 1)
     wait_for(lambda: version(b) == 2, "b has version 2")
     assert version(a) == 1
-    assert not b.knows("a", "of a")
+    assert not b.has_entry("a", "of a")
 
     for relay in relays:
         relay.heal()
     wait_for(lambda: a.versions == [1, 2], "a has version 2")
-    wait_for(lambda: b.knows("a", "of a") and a.knows("b", "of b"), "entries crossed")
+    wait_for(lambda: b.has_entry("a", "of a") and a.has_entry("b", "of b"), "entries crossed")
     assert b.versions == [1, 2]
 
 
--- a/packages/redwingscale-daemon/tests/unit/control/test_membership.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_membership.py
@@ -77,14 +77,14 @@
     for node in nodes:
         node.run()
     pairs = [(a, b) for a in nodes for b in nodes if a is not b]
-    wait_for(lambda: all(a.hears(b.name) for a, b in pairs), "all hear all")
+    wait_for(lambda: all(a.sees(b.name) for a, b in pairs), "all hear all")
 
     nodes[-1].stop()
 
     rest = nodes[:-1]
-    wait_for(lambda: not any(a.hears(nodes[-1].name) for a in rest), "its silence is seen")
+    wait_for(lambda: not any(a.sees(nodes[-1].name) for a in rest), "its silence is seen")
     # Four as listed, and at most four more that close the rings around the dead one.
-    assert all(len(node.control.mesh.linked()) <= 8 for node in rest)
+    assert all(len(node.control.mesh.linked_peers()) <= 8 for node in rest)
 
 
 def test_entries_reach_all_domains(make_node, wait_for):
@@ -94,7 +94,7 @@
 
     nodes[0].control.gossip.publish("test", "k", 1)
 
-    wait_for(lambda: all(n.knows(nodes[0].name, "k") for n in nodes), "the entry is everywhere")
+    wait_for(lambda: all(n.has_entry(nodes[0].name, "k") for n in nodes), "the entry is everywhere")
 
 
 def test_a_silent_link_is_redialled_and_catches_up(make_node, make_relay, wait_for):
@@ -107,12 +107,12 @@
     a, b = make_node("a"), make_node("b", relay=relay)
     a.run()
     b.run()
-    wait_for(lambda: b.hears("a") and a.hears("b"), "both hear each other")
+    wait_for(lambda: b.sees("a") and a.sees("b"), "both hear each other")
 
     relay.silence()
     a.control.gossip.publish("test", "lost", 1)
 
-    wait_for(lambda: b.knows("a", "lost"), "the entry arrives over a new connection")
+    wait_for(lambda: b.has_entry("a", "lost"), "the entry arrives over a new connection")
     assert relay.accepted > 1
     assert a.control.traffic.redials >= 1
 
@@ -126,13 +126,13 @@
     a, b = make_node("a"), make_node("b", relay=relay)
     a.run()
     b.run()
-    wait_for(lambda: b.hears("a") and a.hears("b"), "both hear each other")
+    wait_for(lambda: b.sees("a") and a.sees("b"), "both hear each other")
 
     relay.cut()
-    wait_for(lambda: not b.hears("a") and a.hears("b"), "one direction is cut")
+    wait_for(lambda: not b.sees("a") and a.sees("b"), "one direction is cut")
     relay.heal()
 
-    wait_for(lambda: b.hears("a") and a.hears("b"), "both hear each other again")
+    wait_for(lambda: b.sees("a") and a.sees("b"), "both hear each other again")
 
 
 def test_a_restart_on_another_port_during_an_outage_is_linked(make_node, platform, wait_for):
@@ -143,17 +143,17 @@
     a, b = make_node("a"), make_node("b")
     a.run()
     b.run()
-    wait_for(lambda: a.hears("b"), "a hears b")
+    wait_for(lambda: a.sees("b"), "a hears b")
     platform.faults.down = True
     b.stop()
-    wait_for(lambda: not a.hears("b"), "b is gone")
+    wait_for(lambda: not a.sees("b"), "b is gone")
 
     again = make_node("b", seeds=[a.url], listed=False)
     again.run()
     a.control.gossip.publish("test", "later", 1)
 
-    wait_for(lambda: a.hears("b") and again.hears("a"), "both hear each other")
-    wait_for(lambda: again.knows("a", "later"), "entries reach it")
+    wait_for(lambda: a.sees("b") and again.sees("a"), "both hear each other")
+    wait_for(lambda: again.has_entry("a", "later"), "entries reach it")
 
 
 def test_a_link_that_its_peer_gave_up_ends_here_too(make_node, wait_for):
@@ -165,14 +165,16 @@
     make_node("b")
     a = make_node("a")
     a.run()
-    wait_for(lambda: a.control.mesh.linked() == ["b"], "a has read the list")
+    wait_for(lambda: a.control.mesh.linked_peers() == ["b"], "a has read the list")
     chose = Frame("z", "c", 1, 0, [], [Hello("tcp://127.0.0.1:1", True)])
 
-    a.control.mesh.take(chose)
-    assert a.control.mesh.linked() == ["b", "z"]
-    a.control.mesh.take(chose._replace(heartbeat=2, messages=[Hello("tcp://127.0.0.1:1", False)]))
+    a.control.mesh.receive(chose)
+    assert a.control.mesh.linked_peers() == ["b", "z"]
+    a.control.mesh.receive(
+        chose._replace(heartbeat=2, messages=[Hello("tcp://127.0.0.1:1", False)])
+    )
 
-    assert a.control.mesh.linked() == ["b"]
+    assert a.control.mesh.linked_peers() == ["b"]
 
 
 def test_frames_of_strangers_are_dropped_and_counted(make_node, names, wait_for):
@@ -190,10 +192,10 @@
             stranger.send(data)
         stranger.send(encode_frame(Frame("b", "a", 7, 0), key))
 
-        wait_for(lambda: node.hears("b", 60.0), "the good frame is taken")
+        wait_for(lambda: node.sees("b", 60.0), "the good frame is taken")
 
     assert node.control.traffic.frames_rejected == len(bad)
-    assert not node.hears("c", 60.0)
+    assert not node.sees("c", 60.0)
 
 
 def test_an_entry_of_another_shape_is_dropped_alone(make_node, wait_for):
@@ -209,7 +211,7 @@
     a.control.gossip.publish("test", "k", 1)
     a.control.gossip.publish("test", "after", 1)
 
-    wait_for(lambda: b.knows("a", "after"), "later entries arrive")
+    wait_for(lambda: b.has_entry("a", "after"), "later entries arrive")
 
 
 def test_a_replayed_heartbeat_does_not_revive_a_dead_peer():
@@ -218,12 +220,12 @@
     Its peers would go on waiting for it in place of taking over.
     """
     heartbeats = PeerHeartbeats()
-    assert heartbeats.receive("b", 5, inside=True)
+    assert heartbeats.receive("b", 5, same_domain=True)
 
-    assert not heartbeats.receive("b", 4, inside=True)
+    assert not heartbeats.receive("b", 4, same_domain=True)
     heartbeats.relay([(heartbeat_id("b"), 5)])
     heard = heartbeats._latest_by_id[heartbeat_id("b")]
-    heartbeats.receive("b", 5, inside=True)
+    heartbeats.receive("b", 5, same_domain=True)
 
     assert heartbeats._latest_by_id[heartbeat_id("b")] == heard
 
