--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 import typer
-from redwingscale_daemon._internal.configuration.store import ConfigurationStore, Won
+from redwingscale_daemon._internal.configuration.store import Applied, ConfigurationStore
 from redwingscale_daemon._internal.settings.settings import PlatformSettings
 from redwingscale_daemon._internal.store.store import connect_platform
 
@@ -88,7 +88,7 @@
     for version in range(1, options.applies + 1):
         begun_at[version] = time.monotonic()
         outcome = store.apply(text_of(options.models, version), version - 1, "bench")
-        assert isinstance(outcome, Won), outcome
+        assert isinstance(outcome, Applied), outcome
         time.sleep(options.pause_seconds)
     time.sleep(BOUND_SECONDS)
     return begun_at
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/accepted.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/accepted.py
@@ -14,7 +14,7 @@
     at: str
 
 
-class Versioned(NamedTuple):
+class VersionedText(NamedTuple):
     """A version with its text, as the platform or a peer gave it."""
 
     pointer: Pointer
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
@@ -7,12 +7,12 @@
 from redwingscale_common.exceptions import CheckFailed
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.configuration.accepted import Accepted, Versioned
+from redwingscale_daemon._internal.configuration.accepted import Accepted, VersionedText
 from redwingscale_daemon._internal.configuration.peer_texts import PeerTexts
 from redwingscale_daemon._internal.configuration.peer_versions import (
     TOPIC,
     PeerVersions,
-    decode_told,
+    decode_version_entry,
 )
 from redwingscale_daemon._internal.configuration.quorum import Quorum
 from redwingscale_daemon._internal.configuration.store import ConfigurationStore
@@ -50,20 +50,20 @@
         self._platform_read = False
         self._platform_failing = False
         self._wake: Callable[[], None] = lambda: None
-        texts.serve(self._held, self._wake_up)
-        quorum.rosters.on_answer(self._wake_up)
+        texts.serve(self._versioned_text, self._wake_up)
+        quorum.rosters.on_response(self._wake_up)
         gossip.subscribe(TOPIC, self._on_entry)
 
     def get(self) -> Accepted | None:
         """Return the version in force here; None before the first one."""
         return self._accepted
 
-    def waiting_for(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why no version is in force here yet."""
         if self._platform_read:
             return "no configuration"
         count = self._quorum.count()
-        return f"no configuration: heard {count.heard} of the {count.needed} peers needed"
+        return f"no configuration: {count.live} of the {count.needed} peers needed are live"
 
     def on_change(self, listener: Listener) -> None:
         """Call ``listener`` with each version that comes into force here."""
@@ -75,21 +75,21 @@
 
     def refresh(self) -> None:
         """Put the newest version that can be had in force."""
-        for offer in self._texts.offers():
-            if self._may_take(offer.pointer.version):
-                self.take(offer)
+        for offer in self._texts.take_offers():
+            if self._may_accept(offer.pointer.version):
+                self.put_in_force(offer)
         if self._platform_failing:
             # Its answer may take as long as the time-out; the peers need not wait for it.
-            self._ask_peers()
+            self._request_from_peers()
         try:
             self._read_platform()
         except PlatformUnavailable as error:
             if not self._platform_failing:
                 log_event("configuration_unavailable", level="WARNING", error=error)
             self._platform_failing = True
-            self._ask_peers()
+            self._request_from_peers()
 
-    def take(self, versioned: Versioned) -> None:
+    def put_in_force(self, versioned: VersionedText) -> None:
         """Put an accepted version in force, unless a newer one already is."""
         if not self._is_newer(versioned.pointer.version):
             return
@@ -111,46 +111,46 @@
         self._platform_read = True
         self._platform_failing = False
         if pointer is not None and self._is_newer(pointer.version):
-            self.take(Versioned(pointer, self._store.text(pointer.digest)))
+            self.put_in_force(VersionedText(pointer, self._store.text(pointer.digest)))
 
-    def _ask_peers(self) -> None:
-        if not self._is_based():
-            self._quorum.rosters.ask()
-        told = self._versions.by_instance()
-        highest = max((value.version for value in told.values()), default=0)
+    def _request_from_peers(self) -> None:
+        if not self._has_base():
+            self._quorum.rosters.request()
+        entries = self._versions.by_instance()
+        highest = max((entry.version for entry in entries.values()), default=0)
         if not self._is_newer(highest):
             return
-        wanted = highest if self._is_based() else self._quorum.count().highest
-        ahead = {peer for peer, value in told.items() if value.version >= wanted}
-        if wanted and self._may_take(wanted):
-            self._texts.ask(ahead, wanted)
+        wanted = highest if self._has_base() else self._quorum.count().highest_version
+        ahead = {peer for peer, entry in entries.items() if entry.version >= wanted}
+        if wanted and self._may_accept(wanted):
+            self._texts.request(ahead, wanted)
 
-    def _may_take(self, version: int) -> bool:
-        if self._is_based():
+    def _may_accept(self, version: int) -> bool:
+        if self._has_base():
             return self._is_newer(version)
         count = self._quorum.count()
-        return count.enough and version >= count.highest
+        return count.is_reached and version >= count.highest_version
 
-    def _is_based(self) -> bool:
+    def _has_base(self) -> bool:
         return self._platform_read or self._accepted is not None
 
     def _is_newer(self, version: int) -> bool:
         return version > (self._accepted.pointer.version if self._accepted else 0)
 
-    def _held(self) -> Versioned | None:
+    def _versioned_text(self) -> VersionedText | None:
         accepted = self._accepted
-        return Versioned(accepted.pointer, accepted.text) if accepted else None
+        return VersionedText(accepted.pointer, accepted.text) if accepted else None
 
     def _on_entry(self, entry: Entry) -> None:
-        told = decode_told(entry)
-        if told is not None and self._is_newer(told.version):
+        version_entry = decode_version_entry(entry)
+        if version_entry is not None and self._is_newer(version_entry.version):
             self._wake_up()
 
     def _wake_up(self) -> None:
         self._wake()
 
 
-def _load(versioned: Versioned) -> Accepted | None:
+def _load(versioned: VersionedText) -> Accepted | None:
     """Return the typed form; None, with a log line, when this release cannot read it."""
     try:
         configuration = load_accepted_text("configuration", versioned.text)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/memory_fit.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/memory_fit.py
@@ -8,7 +8,7 @@
 from redwingscale_daemon._internal.upstreams.directory import EngineView
 
 
-class Group(NamedTuple):
+class ModelGroup(NamedTuple):
     """A model with its adapters, which stay together on one engine."""
 
     model: str
@@ -23,7 +23,7 @@
 
     needed_bytes: int
     available_bytes: int
-    largest: Group
+    largest: ModelGroup
     largest_engine_bytes: int
     unreported: tuple[str, ...]
 
@@ -47,22 +47,24 @@
         return ""
 
 
-def memory_fit(configuration: Configuration, engines: Mapping[str, EngineView]) -> MemoryFit:
+def compute_memory_fit(
+    configuration: Configuration, engines: Mapping[str, EngineView]
+) -> MemoryFit:
     """Return how ``configuration`` compares with what the engines have reported.
 
     It is a necessary condition only: sums can fit where no placement does.
     """
     share = 1 - configuration.policy.cache_share
-    staying = {key: view for key, view in engines.items() if not view.leaving}
-    usable = [int(v.digest.capacity_bytes * share) for v in staying.values() if v.digest]
+    active = {key: view for key, view in engines.items() if not view.leaving}
+    usable = [int(v.digest.capacity_bytes * share) for v in active.values() if v.digest]
     sizes: dict[Unit, int] = {}
     for unit, size in configuration.serving_units().items():
         sizes[unit.base] = sizes.get(unit.base, 0) + size
-    groups = [Group(str(unit), size) for unit, size in sizes.items()]
+    groups = [ModelGroup(str(unit), size) for unit, size in sizes.items()]
     return MemoryFit(
         needed_bytes=sum(sizes.values()),
         available_bytes=sum(usable),
-        largest=max(groups, key=lambda g: g.size_bytes, default=Group("", 0)),
+        largest=max(groups, key=lambda g: g.size_bytes, default=ModelGroup("", 0)),
         largest_engine_bytes=max(usable, default=0),
-        unreported=tuple(sorted(key for key, view in staying.items() if not view.digest)),
+        unreported=tuple(sorted(key for key, view in active.items() if not view.digest)),
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_rosters.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_rosters.py
@@ -31,36 +31,36 @@
         self._wake: Callable[[], None] = lambda: None
         mesh.on_direct(TOPIC, self._on_direct)
 
-    def on_answer(self, wake: Callable[[], None]) -> None:
+    def on_response(self, wake: Callable[[], None]) -> None:
         """Call ``wake`` when a roster came."""
         self._wake = wake
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Ask every linked peer that has not answered."""
         for peer in self._mesh.linked_peers():
             if peer not in self._rosters_by_peer:
                 self._mesh.send_direct(peer, TOPIC, msgspec.msgpack.encode(None))
 
     @property
-    def answered(self) -> bool:
+    def has_response(self) -> bool:
         """Whether any peer has answered."""
         return bool(self._rosters_by_peer)
 
     def peers(self) -> set[str]:
         """Return all peers of the own failure domain that this instance has learned of."""
-        told = frozenset().union(*list(self._rosters_by_peer.values()))
-        return (self._known() | told) - {self._instance.id}
+        received = frozenset().union(*list(self._rosters_by_peer.values()))
+        return (self._own_roster() | received) - {self._instance.id}
 
-    def _known(self) -> set[str]:
+    def _own_roster(self) -> set[str]:
         domain = self._instance.failure_domain
         listed = {m.id for m in self._members.instances() if m.failure_domain == domain}
         by_instance = self._versions.by_instance()
-        return listed | {p for p, told in by_instance.items() if told.failure_domain == domain}
+        return listed | {p for p, entry in by_instance.items() if entry.failure_domain == domain}
 
     def _on_direct(self, peer: str, payload: bytes) -> None:
         roster = msgspec.msgpack.decode(payload, type=frozenset[str] | None)
         if roster is None:
-            self._mesh.send_direct(peer, TOPIC, msgspec.msgpack.encode(self._known()))
+            self._mesh.send_direct(peer, TOPIC, msgspec.msgpack.encode(self._own_roster()))
             return
         self._rosters_by_peer[peer] = roster
         self._wake()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_texts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_texts.py
@@ -9,82 +9,82 @@
 from redwingscale_common.utils.digests import sha256_hex
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.configuration.accepted import Pointer, Versioned
+from redwingscale_daemon._internal.configuration.accepted import Pointer, VersionedText
 from redwingscale_daemon._internal.membership.mesh import Mesh
 
 TOPIC = "configuration"
-TEXT_BYTES = 16 << 20
+MAX_TEXT_BYTES = 16 << 20
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=0):
+class TextRequest(msgspec.Struct, frozen=True, array_like=True, tag=0):
     """Send the version in force, if it is ``version`` or a later one."""
 
     version: int
 
 
-class Offer(msgspec.Struct, frozen=True, array_like=True, tag=1):
+class TextOffer(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """A version with its text, compressed by zlib."""
 
     pointer: Pointer
     compressed: bytes
 
 
-Exchange = Ask | Offer
+TextMessage = TextRequest | TextOffer
 
 
 class PeerTexts:
     """Asks linked peers for a version and answers them; offers wait in a queue.
 
     Offers come in on the thread that hears all peers, which must not check and
-    build a text of hundreds of kilobytes; `offers` hands them to the caller's.
+    build a text of hundreds of kilobytes; `take_offers` hands them to the caller's.
     """
 
     def __init__(self, mesh: Mesh) -> None:
         self._mesh = mesh
-        self._turn = itertools.count()
-        self._offers: queue.SimpleQueue[Offer] = queue.SimpleQueue()
-        self._in_force: Callable[[], Versioned | None] = lambda: None
+        self._request_count = itertools.count()
+        self._offers: queue.SimpleQueue[TextOffer] = queue.SimpleQueue()
+        self._in_force: Callable[[], VersionedText | None] = lambda: None
         self._wake: Callable[[], None] = lambda: None
         mesh.on_direct(TOPIC, self._on_direct)
 
-    def serve(self, in_force: Callable[[], Versioned | None], wake: Callable[[], None]) -> None:
+    def serve(self, in_force: Callable[[], VersionedText | None], wake: Callable[[], None]) -> None:
         """Answer with what ``in_force`` returns; call ``wake`` when an offer came."""
         self._in_force = in_force
         self._wake = wake
 
-    def ask(self, peers: set[str], version: int) -> None:
-        """Ask one linked peer of ``peers``, another one each time."""
+    def request(self, peers: set[str], version: int) -> None:
+        """Request one linked peer of ``peers``, another one each time."""
         linked = [peer for peer in self._mesh.linked_peers() if peer in peers]
         if linked:
-            peer = linked[next(self._turn) % len(linked)]
-            self._send(peer, Ask(version))
+            peer = linked[next(self._request_count) % len(linked)]
+            self._send(peer, TextRequest(version))
 
-    def offers(self) -> list[Versioned]:
+    def take_offers(self) -> list[VersionedText]:
         """Return the offers that came since the last call, whole ones only."""
-        waiting = [self._offers.get() for _ in range(self._offers.qsize())]
-        texts = [_open(offer) for offer in waiting]
+        queued = [self._offers.get() for _ in range(self._offers.qsize())]
+        texts = [_decompress(offer) for offer in queued]
         return [versioned for versioned in texts if versioned is not None]
 
     def _on_direct(self, peer: str, payload: bytes) -> None:
-        match msgspec.msgpack.decode(payload, type=Exchange):
-            case Ask(version=version):
-                self._answer(peer, version)
-            case Offer() as offer:
+        match msgspec.msgpack.decode(payload, type=TextMessage):
+            case TextRequest(version=version):
+                self._reply(peer, version)
+            case TextOffer() as offer:
                 self._offers.put(offer)
                 self._wake()
 
-    def _answer(self, peer: str, version: int) -> None:
-        held = self._in_force()
-        if held is not None and held.pointer.version >= version:
-            self._send(peer, Offer(held.pointer, zlib.compress(held.text.encode())))
+    def _reply(self, peer: str, version: int) -> None:
+        in_force = self._in_force()
+        if in_force is not None and in_force.pointer.version >= version:
+            self._send(peer, TextOffer(in_force.pointer, zlib.compress(in_force.text.encode())))
 
-    def _send(self, peer: str, exchange: Exchange) -> None:
-        self._mesh.send_direct(peer, TOPIC, msgspec.msgpack.encode(exchange))
+    def _send(self, peer: str, message: TextMessage) -> None:
+        self._mesh.send_direct(peer, TOPIC, msgspec.msgpack.encode(message))
 
 
-def _open(offer: Offer) -> Versioned | None:
+def _decompress(offer: TextOffer) -> VersionedText | None:
     try:
-        data = zlib.decompressobj().decompress(offer.compressed, TEXT_BYTES)
+        data = zlib.decompressobj().decompress(offer.compressed, MAX_TEXT_BYTES)
         text = data.decode()
     except (zlib.error, UnicodeDecodeError) as error:
         log_event("configuration_offer_invalid", level="WARNING", error=repr(error))
@@ -92,4 +92,4 @@
     if sha256_hex(data) != offer.pointer.digest:
         log_event("configuration_offer_invalid", level="WARNING", error="digest differs")
         return None
-    return Versioned(offer.pointer, text)
+    return VersionedText(offer.pointer, text)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_versions.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_versions.py
@@ -11,7 +11,7 @@
 KEY = ""
 
 
-class Told(NamedTuple):
+class VersionEntry(NamedTuple):
     """The payload of an instance's entry: 0 stands for no version yet.
 
     Only the number is told: with the whole text in the entry, an apply at 860
@@ -31,22 +31,24 @@
 
     def publish(self, version: int) -> None:
         """Tell all instances which version is in force here."""
-        self._gossip.publish(TOPIC, KEY, Told(self._failure_domain, version))
+        self._gossip.publish(TOPIC, KEY, VersionEntry(self._failure_domain, version))
 
-    def by_instance(self) -> dict[str, Told]:
+    def by_instance(self) -> dict[str, VersionEntry]:
         """Return what each instance told last; ill-formed entries are left out."""
-        told = {entry.origin: decode_told(entry) for entry in self._gossip.entries(TOPIC)}
-        return {origin: value for origin, value in told.items() if value is not None}
+        entries = {
+            entry.origin: decode_version_entry(entry) for entry in self._gossip.entries(TOPIC)
+        }
+        return {origin: entry for origin, entry in entries.items() if entry is not None}
 
     def versions(self, listed: list[str]) -> dict[str, int]:
         """Return the version at each listed instance, 0 where none is known."""
-        told = self.by_instance()
-        return {i: told[i].version if i in told else 0 for i in sorted(listed)}
+        entries = self.by_instance()
+        return {i: entries[i].version if i in entries else 0 for i in sorted(listed)}
 
 
-def decode_told(entry: Entry) -> Told | None:
+def decode_version_entry(entry: Entry) -> VersionEntry | None:
     """Return the payload of ``entry``; None when it is not well-formed."""
     try:
-        return msgspec.msgpack.decode(entry.payload, type=Told)
+        return msgspec.msgpack.decode(entry.payload, type=VersionEntry)
     except msgspec.MsgspecError:
         return None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/quorum.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/quorum.py
@@ -7,13 +7,13 @@
 from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats
 
 
-class Count(NamedTuple):
+class PeerCount(NamedTuple):
     """Peers heard and needed, and the highest version that those heard have in force."""
 
-    heard: int
+    live: int
     needed: int
-    highest: int
-    enough: bool
+    highest_version: int
+    is_reached: bool
 
 
 class Quorum:
@@ -29,27 +29,27 @@
 
     def __init__(
         self,
-        seeds: int,
+        seed_count: int,
         rosters: PeerRosters,
         versions: PeerVersions,
         heartbeats: PeerHeartbeats,
         silence_seconds: float,
     ) -> None:
-        self._seeds = seeds
+        self._seed_count = seed_count
         self._versions = versions
         self._heartbeats = heartbeats
         self._silence_seconds = silence_seconds
         self.rosters = rosters
 
-    def count(self) -> Count:
+    def count(self) -> PeerCount:
         """Return how many peers were heard and how many are needed."""
-        told = self._versions.by_instance()
+        entries = self._versions.by_instance()
         peers = self.rosters.peers()
-        heard = [p for p in peers if p in told and told[p].version > 0 and self._is_live(p)]
-        needed = max(len(peers), self._seeds) // 2 + 1
-        highest = max((told[peer].version for peer in heard), default=0)
-        enough = self.rosters.answered and len(heard) >= needed
-        return Count(len(heard), needed, highest, enough)
+        live = [p for p in peers if p in entries and entries[p].version > 0 and self._is_live(p)]
+        needed = max(len(peers), self._seed_count) // 2 + 1
+        highest_version = max((entries[peer].version for peer in live), default=0)
+        is_reached = self.rosters.has_response and len(live) >= needed
+        return PeerCount(len(live), needed, highest_version, is_reached)
 
     def _is_live(self, peer: str) -> bool:
         return self._heartbeats.silent_seconds(peer) < self._silence_seconds
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/store.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/store.py
@@ -20,11 +20,11 @@
 
 POINTER_KEY = "configuration"
 HISTORY_PREFIX = "configuration-history/"
-OBJECT_ATTEMPTS = 3
+MAX_OBJECT_ATTEMPTS = 3
 
 
 @dataclass(frozen=True)
-class Won:
+class Applied:
     """The text is accepted; ``repeated`` when an earlier apply had done it already."""
 
     pointer: Pointer
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Lost:
+class ApplyConflict:
     """Another version came first and is in force, None for no version at all.
 
     ``superseded`` is the version that this very text had become before, when
@@ -51,7 +51,7 @@
 
     def pointer(self) -> Pointer | None:
         """Return the pointer in the platform; raise `PlatformUnavailable`."""
-        return _pointer(self._row(POINTER_KEY))
+        return _to_pointer(self._row(POINTER_KEY))
 
     def text(self, digest: str) -> str:
         """Return the text of ``digest``; raise `PlatformUnavailable`."""
@@ -63,11 +63,11 @@
         pointers = [Pointer(**row.value) for row in rows.values()]
         return sorted(pointers, key=lambda p: p.version, reverse=True)
 
-    def past(self, version: int) -> Pointer | None:
+    def past_pointer(self, version: int) -> Pointer | None:
         """Return accepted version ``version``; None when there is none."""
-        return _pointer(self._row(_history_key(version)))
+        return _to_pointer(self._row(_history_key(version)))
 
-    def apply(self, text: str, base_version: int, author: str) -> Won | Lost:
+    def apply(self, text: str, base_version: int, author: str) -> Applied | ApplyConflict:
         """Put ``text`` in force if ``base_version`` still is.
 
         Raises `PlatformUnavailable` when nothing was changed, and
@@ -76,9 +76,9 @@
         """
         digest = sha256_hex(text.encode())
         row = self._row(POINTER_KEY)
-        current = _pointer(row)
+        current = _to_pointer(row)
         if (current.version if current else 0) != base_version:
-            return self._late(digest, base_version, current)
+            return self._resolve_conflict(digest, base_version, current)
         # The object comes first: a pointer never names a text that is not there, and
         # an outage between the two writes leaves the old version in force.
         self._put_object(digest, text)
@@ -90,14 +90,14 @@
 
     def _put_object(self, digest: str, text: str) -> None:
         """Store the text; it is named by its digest, so a lost reply is just repeated."""
-        for _ in range(OBJECT_ATTEMPTS):
+        for _ in range(MAX_OBJECT_ATTEMPTS):
             try:
                 return self._platform.objects.put(f"configuration/{digest}", text.encode())
             except WriteUnknown as error:
                 failure = error
         raise PlatformUnavailable(f"the text could not be stored: {failure}")
 
-    def _commit(self, pointer: Pointer, row: Row | None) -> Won | Lost:
+    def _commit(self, pointer: Pointer, row: Row | None) -> Applied | ApplyConflict:
         value = pointer._asdict()
         outcome = self._platform.table.commit_and_resolve(
             Transaction(
@@ -107,27 +107,35 @@
             )
         )
         if isinstance(outcome, Committed):
-            return Won(pointer)
-        return self._late(pointer.digest, pointer.version - 1, _pointer(outcome.rows[POINTER_KEY]))
+            return Applied(pointer)
+        return self._resolve_conflict(
+            pointer.digest, pointer.version - 1, _to_pointer(outcome.rows[POINTER_KEY])
+        )
 
-    def _late(self, digest: str, base_version: int, current: Pointer | None) -> Won | Lost:
+    def _resolve_conflict(
+        self, digest: str, base_version: int, current: Pointer | None
+    ) -> Applied | ApplyConflict:
         """Tell a repeated apply, whose first answer was lost, from a lost race.
 
         The version after the base bears this very text: the operator's wish is
         done, and to refuse it would make them merge their text with itself.
         """
         if current is None or current.version <= base_version:
-            return Lost(current)
+            return ApplyConflict(current)
         if current.version == base_version + 1:
-            return Won(current, repeated=True) if current.digest == digest else Lost(current)
-        next_one = self.past(base_version + 1)
-        superseded = next_one if next_one and next_one.digest == digest else None
-        return Lost(current, superseded)
+            return (
+                Applied(current, repeated=True)
+                if current.digest == digest
+                else ApplyConflict(current)
+            )
+        successor = self.past_pointer(base_version + 1)
+        superseded = successor if successor and successor.digest == digest else None
+        return ApplyConflict(current, superseded)
 
 
 def _history_key(version: int) -> str:
     return f"{HISTORY_PREFIX}{version:012d}"
 
 
-def _pointer(row: Row | None) -> Pointer | None:
+def _to_pointer(row: Row | None) -> Pointer | None:
     return Pointer(**row.value) if row else None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/readiness.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/lifecycle/readiness.py
@@ -18,7 +18,7 @@
         """Return why the instance is not ready, empty if it is ready."""
         if self._draining:
             return "draining"
-        return "" if self._current.get() else self._current.waiting_for()
+        return "" if self._current.get() else self._current.not_ready_reason()
 
     @property
     def draining(self) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
@@ -9,11 +9,15 @@
 from redwingscale_common.network.exchange import json_response, read_json
 from redwingscale_common.utils.logs import log_event
 
-from redwingscale_daemon._internal.configuration.accepted import Pointer, Versioned
+from redwingscale_daemon._internal.configuration.accepted import Pointer, VersionedText
 from redwingscale_daemon._internal.configuration.current import CurrentConfiguration
-from redwingscale_daemon._internal.configuration.memory_fit import MemoryFit, memory_fit
+from redwingscale_daemon._internal.configuration.memory_fit import MemoryFit, compute_memory_fit
 from redwingscale_daemon._internal.configuration.peer_versions import PeerVersions
-from redwingscale_daemon._internal.configuration.store import ConfigurationStore, Lost, Won
+from redwingscale_daemon._internal.configuration.store import (
+    Applied,
+    ApplyConflict,
+    ConfigurationStore,
+)
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.upstreams.directory import Directory
 
@@ -84,7 +88,7 @@
         return self._versions.versions([m.id for m in self._members.instances()])
 
     def _roll_back(self, body: RollbackBody) -> bytes:
-        past = self._store.past(body.version)
+        past = self._store.past_pointer(body.version)
         if past is None:
             return json_response({"error": f"there is no version {body.version}"}, NOT_FOUND)
         return self._apply(self._store.text(past.digest), body.base_version, body.author)
@@ -93,22 +97,24 @@
         findings = check_text("configuration", text)
         if findings:
             return _refused(findings)
-        fit = memory_fit(load_accepted_text("configuration", text), self._directory.engines())
+        fit = compute_memory_fit(
+            load_accepted_text("configuration", text), self._directory.engines()
+        )
         problem = fit.problem()
         if problem and fit.conclusive:
             return _refused([Finding("$.models", problem)], fit)
         match self._store.apply(text, base_version, author):
-            case Won(pointer=pointer, repeated=repeated):
-                self._current.take(Versioned(pointer, text))
+            case Applied(pointer=pointer, repeated=repeated):
+                self._current.put_in_force(VersionedText(pointer, text))
                 log_event("configuration_accepted", version=pointer.version, author=author)
                 warnings = _warnings(problem, fit)
                 extra = {"repeated": repeated, "warnings": warnings}
                 return json_response(pointer._asdict() | extra)
-            case Lost() as lost:
+            case ApplyConflict() as lost:
                 log_event("configuration_conflict", base_version=base_version, author=author)
                 return json_response(self._conflict(text, base_version, lost), CONFLICT)
 
-    def _conflict(self, text: str, base_version: int, lost: Lost) -> dict[str, Any]:
+    def _conflict(self, text: str, base_version: int, lost: ApplyConflict) -> dict[str, Any]:
         """Return the version in force and both differences, so that nothing is lost.
 
         ``difference`` leads from the version in force to the refused text,
@@ -116,7 +122,7 @@
         """
         current = lost.current or Pointer(0, "", "", "")
         in_force = self._text_of(lost.current)
-        base = self._text_of(self._store.past(base_version))
+        base = self._text_of(self._store.past_pointer(base_version))
         superseded = lost.superseded.version if lost.superseded else None
         return current._asdict() | {
             "error": f"version {current.version} is in force, not {base_version}",
--- a/packages/redwingscale-daemon/tests/unit/control/test_configuration_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_configuration_spread.py
@@ -36,8 +36,8 @@
 
     assert all(rises(node) for node in nodes)
     names = [node.name for node in nodes]
-    told = [node.control.versions.versions(names) for node in nodes]
-    wait_for(lambda: all(set(t.values()) == {5} for t in told) or told.clear(), "in force")
+    versions = [node.control.versions.versions(names) for node in nodes]
+    wait_for(lambda: all(set(v.values()) == {5} for v in versions) or versions.clear(), "in force")
 
 
 def test_an_instance_restarted_in_an_outage_learns_from_its_peers(
@@ -68,9 +68,9 @@
     fresh.run()
 
     wait_for(lambda: fresh.control.current._platform_failing, "the platform was tried")
-    reason = fresh.control.current.waiting_for()
+    reason = fresh.control.current.not_ready_reason()
 
-    assert reason == "no configuration: heard 0 of the 1 peers needed"
+    assert reason == "no configuration: 0 of the 1 peers needed are live"
     assert fresh.versions == []
 
 
@@ -94,12 +94,18 @@
     fresh = make_node("fresh", seeds=[stale.url], listed=False)
     fresh.run()
 
-    wait_for(lambda: fresh.sees("i0") and fresh.control.versions.by_instance(), "stale is heard")
-    wait_for(lambda: "of the 3" in fresh.control.current.waiting_for(), "it tells of the others")
+    wait_for(
+        lambda: fresh.sees("i0") and fresh.control.versions.by_instance(), "the stale peer is seen"
+    )
+    wait_for(
+        lambda: "of the 3" in fresh.control.current.not_ready_reason(),
+        "the stale peer names the others",
+    )
     for _ in range(5):
         fresh.control.current.refresh()
     assert fresh.versions == []
-    assert "heard 1 of the 3" in fresh.control.current.waiting_for()
+    reason = fresh.control.current.not_ready_reason()
+    assert reason == "no configuration: 1 of the 3 peers needed are live"
 
     platform.faults.down = False
     apply(2)
@@ -121,14 +127,14 @@
     apply(2)
     node.run()
     wait_for(lambda: node.versions == [2], "version 2")
-    held = node.control.current.get()
+    in_force = node.control.current.get()
 
-    node.control.current.take(held._replace(pointer=old))
+    node.control.current.put_in_force(in_force._replace(pointer=old))
     peer.control.versions.publish(1)
     node.control.gossip.accept(peer.control.gossip.entries("configuration")[0], "b")
     node.control.current.refresh()
 
-    assert node.control.current.get() is held
+    assert node.control.current.get() is in_force
     assert node.versions == [2]
 
 
@@ -208,9 +214,9 @@
     node.run()
     apply(1)
     wait_for(lambda: version(node) == 1, "version 1")
-    held = node.control.current.get()
-    newer = held.pointer._replace(version=2)
+    in_force = node.control.current.get()
+    newer = in_force.pointer._replace(version=2)
 
-    node.control.current.take(held._replace(pointer=newer, text='{"of": "the future"}'))
+    node.control.current.put_in_force(in_force._replace(pointer=newer, text='{"of": "the future"}'))
 
-    assert node.control.current.get() is held
+    assert node.control.current.get() is in_force
--- a/packages/redwingscale-daemon/tests/unit/control/test_configuration_store.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_configuration_store.py
@@ -3,7 +3,11 @@
 from concurrent.futures import ThreadPoolExecutor
 
 import pytest
-from redwingscale_daemon._internal.configuration.store import ConfigurationStore, Lost, Won
+from redwingscale_daemon._internal.configuration.store import (
+    Applied,
+    ApplyConflict,
+    ConfigurationStore,
+)
 from redwingscale_daemon._internal.exceptions import PlatformUnavailable, WriteUnknown
 from redwingscale_daemon._internal.settings.settings import PlatformSettings
 from redwingscale_daemon._internal.store.store import connect_platform
@@ -64,9 +68,9 @@
         futures = [pool.submit(store.apply, text(10 + n), 1, f"operator-{n}") for n in range(8)]
         outcomes = [future.result() for future in futures]
 
-    won = [o for o in outcomes if isinstance(o, Won)]
+    won = [o for o in outcomes if isinstance(o, Applied)]
     assert len(won) == 1
-    assert {o.current for o in outcomes if isinstance(o, Lost)} == {won[0].pointer}
+    assert {o.current for o in outcomes if isinstance(o, ApplyConflict)} == {won[0].pointer}
     assert store.pointer() == won[0].pointer
     assert [p.version for p in store.history()] == [2, 1]
 
@@ -93,7 +97,7 @@
 
     outcome = failing_store(client, commit).apply(text(), 0, "operator")
 
-    assert outcome == Won(store.pointer())
+    assert outcome == Applied(store.pointer())
     assert [p.version for p in store.history()] == [1]
 
 
@@ -114,7 +118,7 @@
 
     outcome = failing_store(client, delay, overtaken).apply(text(), 0, "operator")
 
-    assert isinstance(outcome, Won)
+    assert isinstance(outcome, Applied)
     assert ConfigurationStore(client).pointer().version == 1
 
 
@@ -130,7 +134,7 @@
 
     outcome = failing_store(client, lose).apply(text(1), 0, "operator")
 
-    assert outcome == Lost(store.pointer())
+    assert outcome == ApplyConflict(store.pointer())
     assert outcome.current.author == "other"
 
 
@@ -166,7 +170,7 @@
     """
     first = store.apply(text(1), 0, "operator")
 
-    assert store.apply(text(1), 0, "operator") == Won(first.pointer, repeated=True)
+    assert store.apply(text(1), 0, "operator") == Applied(first.pointer, repeated=True)
 
 
 def test_an_apply_repeated_after_it_was_replaced_is_told_so(store, text):
@@ -175,8 +179,8 @@
 
     again = store.apply(text(1), 0, "operator")
 
-    assert again == Lost(second.pointer, superseded=first.pointer)
+    assert again == ApplyConflict(second.pointer, superseded=first.pointer)
 
 
 def test_a_base_that_never_was_is_refused(store, text):
-    assert store.apply(text(), 7, "operator") == Lost(None)
+    assert store.apply(text(), 7, "operator") == ApplyConflict(None)
