--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Links between instances: heartbeats and versioned entries."""
+"""Links between instances, which carry heartbeats and versioned entries."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/anti_entropy.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/anti_entropy.py
@@ -1,8 +1,8 @@
-"""Finds which entries two instances do not share, in a few small messages.
+"""Finds the entries that two instances do not share, in a few small messages.
 
-A full cycle costs one hash when both sides hold the same. Entries that have
-just changed are left out of the hashes (they are on their way by themselves):
-else a board that changes all the time would never compare equal.
+A full cycle costs one hash if both sides store the same entries. Entries that
+have just changed are left out of the hashes, since the links already send them:
+otherwise a gossip state that changes all the time would never compare equal.
 """
 
 import functools
@@ -18,18 +18,18 @@
 
 
 def make_root(stored: Iterable[StoredEntry], settled_seconds: float) -> Root:
-    """Return one hash over all entries that have settled."""
+    """Return one hash over all entries stored for at least ``settled_seconds``."""
     hashes = _bucket_hashes(stored, settled_seconds)
     return Root(settled_seconds, functools.reduce(operator.xor, hashes))
 
 
 def make_buckets(stored: Iterable[StoredEntry], settled_seconds: float) -> Buckets:
-    """Return the hash of each bucket."""
+    """Return the hash of each bucket over its settled entries."""
     return Buckets(settled_seconds, _bucket_hashes(stored, settled_seconds))
 
 
 def make_versions(stored: Sequence[StoredEntry], theirs: Buckets) -> Versions | None:
-    """Return what is held here in the buckets that differ; None when none does."""
+    """Return the tags of the entries in the buckets that differ; None if none does."""
     ours = _bucket_hashes(stored, theirs.settled_seconds)
     differing = {i for i, (a, b) in enumerate(zip(ours, theirs.hashes, strict=False)) if a != b}
     if not differing:
@@ -38,7 +38,7 @@
 
 
 def find_missing(stored: Iterable[StoredEntry], theirs: Versions) -> list[Entry]:
-    """Return the entries held here that the sender of ``theirs`` does not have."""
+    """Return the stored entries that the sender of ``theirs`` does not have."""
     buckets = set(theirs.buckets)
     tags = set(theirs.tags)
     return [k.entry for k in stored if k.bucket in buckets and k.tag not in tags]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/entry.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/entry.py
@@ -1,10 +1,10 @@
-"""Versioned entries that instances tell each other."""
+"""Versioned entries that instances replicate to each other."""
 
 from typing import NamedTuple
 
 
 class EntryKey(NamedTuple):
-    """What an entry is about; a newer entry of the same key replaces it."""
+    """Identity of an entry; a newer entry with the same key replaces it."""
 
     origin: str
     topic: str
@@ -12,10 +12,10 @@
 
 
 class Entry(NamedTuple):
-    """``payload`` (MessagePack) as told by ``origin``.
+    """A ``payload`` (MessagePack) published by the instance ``origin``.
 
     ``boot`` rises with each start of the origin and ``sequence`` with each of
-    its entries, so that a late or repeated copy never replaces a newer one.
+    its entries, so a delayed or repeated copy never replaces a newer entry.
     """
 
     origin: str
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/frame.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/frame.py
@@ -13,16 +13,17 @@
 
 
 class FrameRejected(RedwingscaleError):
-    """A frame from a stranger, one that is not well-formed, or a replayed one."""
+    """The frame is not authenticated, not well-formed, or replayed."""
 
 
 class Frame(NamedTuple):
-    """One heartbeat with what else there is to tell.
+    """One heartbeat, with the messages that are due for the receiver.
 
-    ``heartbeat`` is the sender's own heartbeat, which only rises. ``acknowledged`` is the
-    last heartbeat of the receiver that reached the sender directly: it acknowledges
-    the link in the other direction. ``relayed_heartbeats`` has the heartbeats of other
-    instances of the sender's failure domain as (heartbeat id, heartbeat).
+    ``heartbeat`` is the sender's own heartbeat number, which only rises.
+    ``acknowledged`` is the last heartbeat that the sender received directly from
+    the receiver: it acknowledges the link in the other direction.
+    ``relayed_heartbeats`` has the heartbeats of other instances of the sender's
+    failure domain as (heartbeat id, heartbeat number).
     """
 
     sender: str
@@ -37,13 +38,16 @@
 
 
 def encode_frame(frame: Frame, key: bytes) -> bytes:
-    """Return the bytes of ``frame``, its authentication code first."""
+    """Return ``frame`` encoded, preceded by its authentication code."""
     body = msgspec.msgpack.encode(frame)
     return _code(body, key) + body
 
 
 def decode_frame(data: bytes, key: bytes) -> Frame:
-    """Return the frame in ``data``; raise `FrameRejected`."""
+    """Return the frame in ``data``.
+
+    Raises `FrameRejected` if it is not authenticated or not well-formed.
+    """
     code, body = data[:MAC_BYTES], data[MAC_BYTES:]
     if not hmac.compare_digest(code, _code(body, key)):
         raise FrameRejected("authentication failed")
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/gossip_state.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/gossip_state.py
@@ -1,4 +1,4 @@
-"""What this instance knows of the others: the newest entry of each key."""
+"""The gossip state of this instance: the newest entry of each key."""
 
 import itertools
 import threading
@@ -16,7 +16,10 @@
 
 
 class GossipState:
-    """Keeps entries, tells subscribers of a topic, and numbers this instance's own."""
+    """Stores entries, notifies subscribers of a topic, and numbers this instance's entries.
+
+    ``boot`` is the start of this process in Unix milliseconds, unless it was raised.
+    """
 
     def __init__(self, instance: str) -> None:
         self._lock = threading.Lock()
@@ -29,21 +32,21 @@
         self.boot = time.time_ns() // 1_000_000
 
     def subscribe(self, topic: str, subscriber: Subscriber) -> None:
-        """Call ``subscriber`` with each new entry of ``topic``, also this instance's own."""
+        """Call ``subscriber`` with each new entry of ``topic``, including this instance's own."""
         self._subscribers.setdefault(topic, []).append(subscriber)
 
     def on_forward(self, forward: Callable[[Entry], None]) -> None:
-        """Call ``forward`` with each entry that the links have to carry on."""
+        """Call ``forward`` with each entry that the links must send on."""
         self._forward.append(forward)
 
     def publish(self, topic: str, key: str, value: object) -> None:
-        """Tell all instances ``value`` (a MessagePack-able value) about ``key``."""
+        """Publish ``value``, which MessagePack can encode, under ``key`` to all instances."""
         self._publish(topic, key, msgspec.msgpack.encode(value))
 
     def accept(self, entry: Entry, source: str = "") -> bool:
-        """Take ``entry`` if it is new; return whether it was.
+        """Store ``entry`` if it is new; return whether it was.
 
-        ``source`` is the peer that told it, empty for this instance's own.
+        ``source`` is the peer that sent it, empty for this instance's own entries.
         """
         if source and entry.origin == self._instance:
             self._republish_above(entry)
@@ -61,19 +64,19 @@
         return True
 
     def entries(self, topic: str | None = None) -> list[Entry]:
-        """Return all entries known, or those of ``topic``."""
+        """Return all entries, or those of ``topic``."""
         return [k.entry for k in self.stored_entries() if topic is None or k.entry.topic == topic]
 
     def stored_entries(self) -> list[StoredEntry]:
-        """Return all entries with what is kept beside them."""
+        """Return all entries with their hashes and times."""
         with self._lock:
             return list(self._stored_by_key.values())
 
     def forget_origins(self, keep: set[str], seconds: float) -> None:
-        """Drop the entries of origins outside ``keep`` that told nothing for ``seconds``.
+        """Drop entries of origins outside ``keep`` without a new entry for ``seconds``.
 
-        A peer that has not dropped them yet would bring them back, and so on
-        in a circle for ever; entries of the boot that was dropped are refused.
+        Entries of a dropped boot are refused from then on: otherwise peers that
+        have not dropped them yet would send them again, in a circle without end.
         """
         horizon = time.monotonic() - seconds
         with self._lock:
@@ -96,10 +99,11 @@
         self.accept(Entry(self._instance, topic, key, self.boot, sequence, payload))
 
     def _republish_above(self, entry: Entry) -> None:
-        """Answer an own entry of a later boot, left over from before the clock was set back.
+        """Raise the boot above that of ``entry`` and publish all own entries again.
 
-        The peers would refuse everything that this process publishes as older
-        than that; so it goes on with a higher boot and tells all again.
+        An own entry with a later boot remains at peers when the clock was set
+        back before a restart. Peers would refuse everything that this process
+        publishes as older than that entry.
         """
         with self._lock:
             if entry.boot <= self.boot:
@@ -117,8 +121,8 @@
             try:
                 subscriber(entry)
             except Exception as error:
-                # A payload of another shape (an older release, a fault of a peer) must
-                # end neither the thread that hears all peers nor a publisher's.
+                # A payload of another shape (an older release, a faulty peer) must not
+                # end the thread that receives from all peers, or a publisher's thread.
                 log_event(
                     "entry_rejected",
                     level="WARNING",
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
@@ -1,4 +1,4 @@
-"""The sending side of one link to a peer: its own thread and socket."""
+"""The sending side of the link to one peer, with its own thread and socket."""
 
 import threading
 import time
@@ -24,26 +24,29 @@
 
 SEND_TIMEOUT_MS = 500
 MAX_BATCH_ENTRIES = 128
-# Entries that come together go out together: a burst costs one frame, not one each.
+# Entries that arrive together are sent together: a burst costs one frame, not one each.
 COALESCE_SECONDS = 0.02
-# Each direction of a link waits a time of its own, so that the two ends, which learn
-# of an entry at nearly the same time, do not both send it to each other.
+# Each direction of a link has its own delay of up to this time, so that two ends that
+# receive an entry at nearly the same time do not both send it to each other.
 STAGGER_SECONDS = 0.13
+# Heartbeats without a new acknowledgement after which a link is dialled again.
 SILENCE_TIMEOUT_HEARTBEATS = 4
 MAX_TIMEOUT_FACTOR = 8
 SCORE_LIMIT = 1 << 64
+# A link relays the heartbeat of another instance again once it rose by two heartbeat
+# intervals, or by this time if that is less.
 MAX_RELAY_INTERVAL_SECONDS = 2.5
 
 
 class LinkTiming(NamedTuple):
-    """Seconds between heartbeats and between full cycles."""
+    """Seconds between heartbeats and between full comparisons of the entries."""
 
     heartbeat: float
     full_cycle: float
 
 
 class Sender(NamedTuple):
-    """What all links of an instance share."""
+    """State that all links of an instance share."""
 
     instance: str
     failure_domain: str
@@ -58,11 +61,11 @@
 class Link:
     """Pushes heartbeats and messages to one peer, and redials when it is silent.
 
-    A ``Push0`` whose connection has gone silent takes every send and none
-    arrives. Only the peer can tell: its own frames acknowledge the last heartbeat
-    that it heard from here. When no acknowledgement rises for a few heartbeats
-    the link is dropped with its socket and dialled anew, which also mends a
-    cut of one direction only.
+    A ``Push0`` whose connection has fallen silent accepts every send, and nothing
+    arrives. Only the peer notices: its own frames acknowledge the last heartbeat
+    that it received on this link. If the acknowledgement does not rise for a few
+    heartbeats, the socket is closed and the peer dialled again, which also
+    restores a link that was cut in one direction only.
     """
 
     def __init__(
@@ -93,10 +96,10 @@
         self._task.start()
 
     def stop(self) -> None:
-        """Take leave of the peer and end.
+        """Inform the peer that the link is no longer chosen, and end it.
 
-        A peer that links back would otherwise go on for some cycles, hear no
-        acknowledgement and redial in vain.
+        A peer that links back would otherwise continue for some cycles, receive no
+        acknowledgement and redial to no effect.
         """
         self._task.stop()
         if self._socket is not None:
@@ -104,25 +107,25 @@
         self._close()
 
     def set_chosen(self, chosen: bool) -> None:
-        """Tell the peer at once when this end begins or ceases to choose the link."""
+        """Set whether this end chooses the link; send a change to the peer at once."""
         if chosen != self._chosen:
             self._chosen = chosen
             self.send(Hello(self._own_url, chosen))
 
     def offer(self, entry: Entry) -> None:
-        """Send ``entry`` soon; it replaces an older one that still waits."""
+        """Send ``entry`` soon; it replaces a pending older one."""
         with self._lock:
             self._pending[entry.entry_key] = entry
         self._task.wake()
 
     def send(self, message: Message) -> None:
-        """Send ``message`` soon; it is lost when the link breaks first."""
+        """Send ``message`` soon; it is lost if the link breaks first."""
         with self._lock:
             self._messages.append(message)
         self._task.wake()
 
     def drop_pending(self, entries: Iterable[Entry]) -> None:
-        """Do not send back what the peer has just told."""
+        """Drop pending entries that the peer itself has just sent."""
         with self._lock:
             for entry in entries:
                 waiting = self._pending.get(entry.entry_key)
@@ -130,12 +133,12 @@
                     del self._pending[entry.entry_key]
 
     def note_relayed(self, heartbeats: Iterable[tuple[int, int]]) -> None:
-        """Do not relay back heartbeats that the peer has just relayed."""
+        """Note heartbeats that the peer has just relayed, so they are not relayed back."""
         for key, heartbeat in heartbeats:
             self._relayed_by_id[key] = max(heartbeat, self._relayed_by_id.get(key, 0))
 
     def acknowledge(self, heartbeat: int) -> None:
-        """Note that the peer has heard ``heartbeat`` of this instance."""
+        """Note that the peer has received ``heartbeat`` of this instance."""
         if heartbeat > self._acknowledged:
             self._acknowledged = heartbeat
             self._acknowledged_at = time.monotonic()
@@ -156,7 +159,7 @@
             return
         log_event("link_silent", level="WARNING", peer=self.peer, url=self.url)
         self._sender.traffic.count_redial()
-        # A dead peer is dialled less and less often, up to a bound.
+        # The timeout of a peer that stays silent doubles up to a bound.
         self._timeout_factor = min(self._timeout_factor * 2, MAX_TIMEOUT_FACTOR)
         self._close()
 
@@ -207,7 +210,7 @@
         self._close()
 
     def _due_heartbeats(self) -> list[tuple[int, int]]:
-        """Return the heartbeats that rose enough since this link last carried them."""
+        """Return the heartbeats that rose enough since this link last relayed them."""
         step = int(
             min(MAX_RELAY_INTERVAL_SECONDS, 2 * self._sender.timing.heartbeat)
             * HEARTBEAT_NUMBERS_PER_SECOND
@@ -229,7 +232,7 @@
         return self._socket
 
     def _close(self) -> None:
-        """Drop the socket; the next one begins with a full cycle of everything."""
+        """Close the socket; the next one begins with a comparison of all entries."""
         if self._socket is not None:
             self._socket.close()
         self._socket = None
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/listener.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/listener.py
@@ -1,4 +1,4 @@
-"""The receiving side of all links: one socket that takes many dialling peers."""
+"""The receiving side of all links: one socket that many peers dial."""
 
 import threading
 import time
@@ -19,10 +19,10 @@
 
 
 class Listener:
-    """Receives frames, drops those of strangers, and hands on the others.
+    """Receives frames, rejects those that are not valid, and hands on the others.
 
-    ``Pull0`` takes several links at once: a peer that redials after its old
-    link has gone silent is heard, where ``Pair0`` would refuse it.
+    ``Pull0`` accepts several connections at once: frames of a peer that redials
+    after its old link fell silent arrive, where ``Pair0`` would refuse the peer.
     """
 
     def __init__(self, host: str, port: int, key: bytes, take: TakeFrame, traffic: Traffic) -> None:
@@ -39,11 +39,14 @@
 
     @property
     def url(self) -> str:
-        """Where peers reach this instance once it has started; empty when it cannot tell."""
+        """URL of this instance for peers once it has started; empty for a wildcard host."""
         return "" if self._host in WILDCARD_HOSTS else f"tcp://{self._host}:{self.port}"
 
     def start(self) -> None:
-        """Bind and receive; raise `pynng.NNGException` when the address is taken."""
+        """Bind and start to receive.
+
+        Raises `pynng.NNGException` if the address is in use.
+        """
         listener = self._socket.listen(self._address)
         self.port = int(str(listener.local_address).rsplit(":", 1)[1])
         self._thread.start()
@@ -62,8 +65,8 @@
             except pynng.NNGException:
                 return
             except RuntimeError as error:
-                # pynng fails on a message without bytes. Anybody who can connect may
-                # send one; it must not end the thread and leave the instance deaf.
+                # pynng raises this for an empty message. Anyone who can connect may send
+                # one; it must not end the thread, which receives from all peers.
                 self._reject(error)
                 continue
             self._receive(data)
@@ -73,14 +76,14 @@
         try:
             self._take(decode_frame(data, self._key))
         except Exception as error:
-            # Whatever a stranger sends, and whatever goes wrong with one frame, must
-            # not end the only thread that hears the peers.
+            # No frame, whoever sent it and whatever fails in its handling, may end the
+            # only thread that receives from peers.
             self._reject(error)
 
     def _reject(self, error: Exception) -> None:
         self._traffic.count_rejected()
         now = time.monotonic()
-        # A stranger that sends without end must not fill the log.
+        # A sender of many invalid frames must not fill the log.
         if now - self._rejected_logged_at < REJECTED_LOG_INTERVAL_SECONDS:
             return
         self._rejected_logged_at = now
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/members.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/members.py
@@ -1,4 +1,4 @@
-"""Members of the deployment, from the platform's lagging list."""
+"""Members of the deployment, from the platform's list, which lags."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 class Members:
-    """The last list that could be read; an outage leaves it as it was."""
+    """The last member list that could be read; an outage leaves it unchanged."""
 
     def __init__(self, member_list: MemberList) -> None:
         self._list = member_list
@@ -26,11 +26,11 @@
         self.by_id: dict[str, Member] = {}
 
     def on_change(self, listener: Listener) -> None:
-        """Call ``listener`` with all members whenever the list has changed."""
+        """Call ``listener`` with all members each time the list changes."""
         self._listeners.append(listener)
 
     def refresh(self) -> None:
-        """Read the list once."""
+        """Read the list once; an outage is logged when it begins."""
         try:
             members = self._list.read()
         except PlatformUnavailable as error:
@@ -52,7 +52,7 @@
         return [m for m in self.by_id.values() if isinstance(m, EngineMember)]
 
     def plain(self, service: str) -> list[PlainMember]:
-        """Return the upstreams of plain service ``service``."""
+        """Return the upstreams of the plain service ``service``."""
         return [
             m for m in self.by_id.values() if isinstance(m, PlainMember) and m.service == service
         ]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/mesh.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/mesh.py
@@ -1,4 +1,4 @@
-"""The links of this instance: which peers it dials, and what they tell it."""
+"""The links of this instance: which peers it dials, and the frames received from them."""
 
 import threading
 import time
@@ -33,12 +33,12 @@
 LINK_BACK_CYCLES = 3
 RETENTION_SECONDS = 300.0
 
-# Takes the peer that sent a `Direct` message, and its payload.
+# Called with the sender of a `Direct` message and its payload.
 DirectHandler = Callable[[str, bytes], None]
 
 
 class LinkBack(NamedTuple):
-    """A peer that this instance links to because of its `Hello`; it lapses unless told again."""
+    """A link back to a peer that sent a `Hello`; it ends at ``until`` without another one."""
 
     url: str
     same_domain: bool
@@ -46,7 +46,7 @@
 
 
 class Mesh:
-    """Keeps mutual links of bounded degree and serves what comes over them."""
+    """Maintains mutual links of bounded degree and handles the frames of the peers."""
 
     def __init__(self, sender: Sender, seeds: Sequence[str], own_url: Callable[[], str]) -> None:
         self._sender = sender
@@ -64,7 +64,7 @@
         sender.gossip.on_forward(self._offer_to_links)
 
     def update(self, members: dict[str, Member]) -> None:
-        """Take a new list of members."""
+        """Link according to a new list of members."""
         peers = {
             m.id: m
             for m in members.values()
@@ -72,7 +72,7 @@
         }
         with self._lock:
             for peer, member in peers.items():
-                # The list lags: what a peer tells of itself holds until the list changes.
+                # The list lags: the URL that a peer announces applies until the list changes.
                 if self._listed_urls.get(peer) != member.peers_url:
                     self._announced_urls.pop(peer, None)
             self._listed_urls = {peer: member.peers_url for peer, member in peers.items()}
@@ -82,7 +82,7 @@
         self.step()
 
     def step(self) -> None:
-        """Bring the links in line with what is known now."""
+        """Add and end links as needed; forget peers that left the list long ago."""
         with self._lock:
             self._apply_links(self._wanted_links())
         listed = set(self._listed_urls)
@@ -91,11 +91,14 @@
             self._sender.heartbeats.forget_silent(listed, RETENTION_SECONDS)
 
     def receive(self, frame: Frame) -> None:
-        """Take a frame of a peer; raise `FrameRejected` for a replayed one."""
+        """Handle a frame of a peer.
+
+        Raises `FrameRejected` if it is replayed or has the id of this instance.
+        """
         sender = self._sender
         same_domain = frame.failure_domain == sender.failure_domain
         if frame.sender == sender.instance:
-            raise FrameRejected("the sender bears this instance's own id")
+            raise FrameRejected("the sender uses the id of this instance")
         if not sender.heartbeats.receive(frame.sender, frame.heartbeat, same_domain=same_domain):
             raise FrameRejected(f"replayed frame of {frame.sender}")
         sender.clock.raise_above(frame.acknowledged)
@@ -112,7 +115,7 @@
         self._direct_handlers[topic] = handler
 
     def send_direct(self, peer: str, topic: str, payload: bytes) -> bool:
-        """Send ``payload`` to a linked ``peer``; return False when there is no link."""
+        """Send ``payload`` to ``peer``; return False if there is no link to it."""
         link = self._links_by_peer.get(peer)
         if link is not None:
             link.send(Direct(topic, payload))
@@ -125,8 +128,8 @@
     def stop(self) -> None:
         """End all links and wait for their threads.
 
-        A thread that still sends while the process ends makes nng abort it, so
-        that a graceful stop would look like a crash.
+        nng aborts a process that ends while a thread still sends, and a graceful
+        stop would look like a crash.
         """
         with self._lock:
             self._stopped = True
@@ -168,7 +171,7 @@
     def _receive_entries(self, peer: str, entries: list[Entry]) -> None:
         for entry in entries:
             self._sender.gossip.accept(entry, peer)
-        # What the board has just offered to this link as well waits there a moment.
+        # The gossip state has offered these entries to this link too, where they are pending.
         link = self._links_by_peer.get(peer)
         if link is not None:
             link.drop_pending(entries)
@@ -204,7 +207,7 @@
             link.send(message)
 
     def _wanted_links(self) -> dict[str, tuple[str, bool, bool]]:
-        """Return url, same_domain and chosen of each link by peer."""
+        """Return URL, same_domain and chosen of each link by peer."""
         now = time.monotonic()
         self._links_back = {p: b for p, b in self._links_back.items() if b.until > now}
         wanted = {
@@ -223,10 +226,10 @@
         return wanted | self._wanted_seed_links({url for url, _, _ in wanted.values()})
 
     def _wanted_seed_links(self, linked_urls: set[str]) -> dict[str, tuple[str, bool, bool]]:
-        """Return links to the seeds, for as long as no list has been read.
+        """Return links to the seeds as long as no list has been read.
 
-        An instance restarted while the platform cannot be reached knows nobody
-        else. A seed answers with its id and is then linked by that.
+        An instance restarted while the platform is unreachable has no other peers.
+        A seed replies with its id and is then linked under that id.
         """
         if not self._has_no_list():
             return {}
@@ -241,7 +244,8 @@
     def _is_dead(self, peer: str) -> bool:
         silent = self._sender.heartbeats.silent_seconds(peer)
         limit = DEAD_AFTER_HEARTBEATS * self._sender.timing.heartbeat
-        # Heartbeats across failure domains come only over links, so silence tells nothing there.
+        # Heartbeats of other failure domains arrive over links only, so the silence of an
+        # unlinked peer there means nothing.
         return limit < silent < float("inf") and self._neighbourhood.is_same_domain(peer)
 
     def _apply_links(self, wanted: dict[str, tuple[str, bool, bool]]) -> None:
@@ -255,7 +259,7 @@
             link.set_chosen(chosen)
 
     def _stop_link(self, link: Link) -> None:
-        """Stop ``link`` aside: its thread may be waiting in a send."""
+        """Stop ``link`` in a separate thread: its own thread may be blocked in a send."""
         thread = threading.Thread(target=link.stop, name="link-stop", daemon=True)
         self._stopping_threads = [t for t in self._stopping_threads if t.is_alive()] + [thread]
         thread.start()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/message.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/message.py
@@ -6,10 +6,10 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=0):
-    """Where the sender listens, and whether it ``chose`` this link by its own rule.
+    """The URL of the sender's listener, and whether the sender chose this link itself.
 
-    A link that the sender chose is answered by a link back, so that every link
-    is mutual and each end can acknowledge what it hears.
+    The receiver links back to a sender that chose the link, so that every link
+    is mutual and each end can acknowledge what it receives.
     """
 
     url: str
@@ -17,27 +17,27 @@
 
 
 class Entries(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Entries that the receiver may lack."""
+    """Entries that the receiver may not have."""
 
     entries: list[Entry]
 
 
 class Root(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Hash over all entries that have been known for ``settled`` seconds."""
+    """Hash over all entries that have been stored for ``settled_seconds``."""
 
     settled_seconds: float
     root: int
 
 
 class Buckets(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Hash of each bucket of entries: the answer to a `Root` that differs."""
+    """Hash of each bucket of entries: the reply to a `Root` that differs."""
 
     settled_seconds: float
     hashes: list[int]
 
 
 class Versions(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Tags of the entries that the sender has in the ``buckets`` that differ."""
+    """Tags of the entries that the sender stores in the ``buckets`` that differ."""
 
     buckets: list[int]
     tags: list[int]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/neighbourhood.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/neighbourhood.py
@@ -1,4 +1,4 @@
-"""The peers of an instance as it knows them, and which of them it links to."""
+"""The listed peers of an instance, and which of them it links to."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class Neighbourhood(NamedTuple):
-    """The rings over one list of instances; rebuilt when the list changes."""
+    """The rings over one list of instances; built anew when the list changes."""
 
     instance: str
     domain_by_instance: dict[str, str]
@@ -24,14 +24,14 @@
     def choose(self, dead: Skip) -> set[str]:
         """Return the peers to link to.
 
-        The neighbours over all listed instances stay linked also while they
-        are silent, so that a cut that ends is noticed; beside them the nearest
-        living ones keep the ring closed around the ``dead``.
+        The neighbours among all listed instances stay linked while they are
+        silent, so that the end of a network partition is noticed. The nearest
+        live neighbours are linked as well and close the rings around the ``dead``.
         """
         return self._choose_neighbours(lambda peer: False) | self._choose_neighbours(dead)
 
     def is_same_domain(self, peer: str) -> bool:
-        """Return whether ``peer`` is of the own failure domain."""
+        """Return whether ``peer`` is in the failure domain of this instance."""
         return self.domain_by_instance.get(peer) == self.domain_by_instance[self.instance]
 
     def _choose_neighbours(self, skip: Skip) -> set[str]:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/peer_heartbeats.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/peer_heartbeats.py
@@ -1,4 +1,4 @@
-"""When each peer was last heard, on this instance's own clock."""
+"""The newest heartbeat of each peer, and when it arrived by the clock of this instance."""
 
 import hashlib
 import threading
@@ -7,7 +7,7 @@
 
 
 def heartbeat_id(instance: str) -> int:
-    """Return the 32-bit name of ``instance`` in relayed heartbeats."""
+    """Return the 32-bit id of ``instance`` in relayed heartbeats."""
     return int.from_bytes(hashlib.blake2b(instance.encode(), digest_size=4).digest(), "big")
 
 
@@ -22,10 +22,10 @@
 
 
 class PeerHeartbeats:
-    """Newest heartbeat of each peer, heard directly or relayed by others.
+    """Newest heartbeat of each peer, received directly or relayed by others.
 
-    Only a heartbeat that is higher than all before counts: a frame that is late,
-    repeated or replayed does not make a dead peer look alive.
+    Only a heartbeat higher than all earlier ones counts, so a frame that is
+    delayed, repeated or replayed does not make a dead peer look alive.
     """
 
     def __init__(self) -> None:
@@ -35,9 +35,9 @@
         self._relayed_ids: set[int] = set()
 
     def receive(self, peer: str, heartbeat: int, *, same_domain: bool) -> bool:
-        """Take a heartbeat that ``peer`` sent itself; return False for a replayed one.
+        """Note a heartbeat that ``peer`` sent itself; return False for a replayed one.
 
-        ``same_domain`` tells whether the peer is of the own failure domain; only
+        ``same_domain`` is whether the peer is in the own failure domain; only
         such heartbeats are relayed.
         """
         with self._lock:
@@ -52,16 +52,16 @@
             return True
 
     def relay(self, heartbeats: list[tuple[int, int]]) -> None:
-        """Take heartbeats of the own failure domain that a peer relayed."""
+        """Note heartbeats of the own failure domain that a peer relayed."""
         with self._lock:
             for peer_id, heartbeat in heartbeats:
-                # A first sight may be the last heartbeat of a peer that died long ago: only a
-                # heartbeat that rises while this instance listens shows that the peer lives.
+                # The first one may be the last heartbeat of a peer that ended long ago. Only
+                # a heartbeat that rises while this instance runs shows that the peer is live.
                 self._note_higher(peer_id, heartbeat, NEVER)
                 self._relayed_ids.add(peer_id)
 
     def latest(self, peer: str) -> int:
-        """Return the last heartbeat that came from ``peer`` directly; 0 for none."""
+        """Return the last heartbeat received directly from ``peer``; 0 for none."""
         known = self._direct_by_peer.get(peer)
         return known.heartbeat if known else 0
 
@@ -71,19 +71,19 @@
             return [(key, self._latest_by_id[key].heartbeat) for key in self._relayed_ids]
 
     def silent_seconds(self, peer: str) -> float:
-        """Return how long ``peer`` has been silent; infinite when never heard.
+        """Return how long ``peer`` has been silent; infinite if it was never received.
 
-        It tells of every instance of the own failure domain, linked or not.
+        This covers every instance of the own failure domain, linked or not.
         """
         with self._lock:
             known = self._latest_by_id.get(heartbeat_id(peer))
         return float("inf") if known is None else time.monotonic() - known.received_at
 
     def forget_silent(self, keep: set[str], seconds: float) -> None:
-        """Drop peers outside ``keep`` that have been silent for longer.
+        """Drop peers outside ``keep`` that have been silent for longer than ``seconds``.
 
-        Memory stays bounded, and a listed peer's last heartbeat is kept for good: its
-        recorded frames, replayed one by one, never count as new.
+        This bounds the memory. The last heartbeat of a listed peer is kept without
+        limit, so that its recorded frames, replayed one by one, never count as new.
         """
         horizon = time.monotonic() - seconds
         kept = {heartbeat_id(peer) for peer in keep}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/rings.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/rings.py
@@ -1,10 +1,10 @@
 """Which peers an instance links to: neighbours on hashed rings.
 
-A ring orders all instances by a hash that all of them compute alike, so the
-choice is mutual (my next peer has me as its previous one), the degree is fixed,
-and the links connect everybody by construction. Independent choices of each
-instance do none of this: with four random choices each, one instance in fifty
-is chosen by nobody and would hear nothing.
+A ring orders all instances by a hash that each of them computes alike. So the
+choice is mutual (the next peer of an instance has it as its previous one), the
+degree is fixed, and the links connect all instances by construction. Independent
+choices guarantee none of this: with four random choices each, one instance in
+fifty is chosen by no other and would receive nothing.
 """
 
 import itertools
@@ -18,12 +18,12 @@
 
 
 def make_ring(name: str, instances: Iterable[str]) -> list[str]:
-    """Return ``instances`` in the order of the ring ``name``."""
+    """Return ``instances`` in their order on the ring ``name``."""
     return sorted(instances, key=lambda i: (rendezvous_score(name, i), i))
 
 
 def neighbours(order: Sequence[str], instance: str, skip: Skip) -> set[str]:
-    """Return the next and the previous peer of ``instance`` that is not skipped."""
+    """Return the next and the previous peer of ``instance`` that are not skipped."""
     at = order.index(instance)
     after = [*order[at + 1 :], *order[:at]]
     chosen = (next(_not_skipped(peers, skip), None) for peers in (after, reversed(after)))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/stored_entry.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/stored_entry.py
@@ -1,4 +1,4 @@
-"""An entry as this instance keeps it."""
+"""An entry with the hashes by which instances compare what they store."""
 
 import hashlib
 import time
@@ -11,7 +11,11 @@
 
 
 class StoredEntry(NamedTuple):
-    """``tag`` hashes key and version; ``stored_at`` is on the monotonic clock."""
+    """An entry in the gossip state.
+
+    ``tag`` hashes its key and version, ``bucket`` is the group of keys that it is
+    compared in, and ``stored_at`` is on the monotonic clock.
+    """
 
     entry: Entry
     tag: int
@@ -20,7 +24,7 @@
 
 
 def make_stored_entry(entry: Entry) -> StoredEntry:
-    """Return ``entry`` as known from this moment on."""
+    """Return ``entry`` as stored now."""
     key = "\0".join(entry.entry_key)
     version = f"{key}\0{entry.boot}\0{entry.sequence}"
     return StoredEntry(entry, _hash(version), _hash(key) % BUCKETS, time.monotonic())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/traffic.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/traffic.py
@@ -1,10 +1,10 @@
-"""What the links of this instance carried."""
+"""Counters of the traffic on the links of this instance."""
 
 import threading
 
 
 class Traffic:
-    """Counts of frames and bytes since the start, for metrics and benchmarks."""
+    """Counts frames and bytes since the start, for metrics and benchmarks."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -16,23 +16,23 @@
         self.redials = 0
 
     def count_sent(self, size: int) -> None:
-        """Count a frame of ``size`` bytes out."""
+        """Count a sent frame of ``size`` bytes."""
         with self._lock:
             self.frames_sent += 1
             self.bytes_sent += size
 
     def count_received(self, size: int) -> None:
-        """Count a frame of ``size`` bytes in."""
+        """Count a received frame of ``size`` bytes."""
         with self._lock:
             self.frames_received += 1
             self.bytes_received += size
 
     def count_rejected(self) -> None:
-        """Count a frame that was dropped."""
+        """Count a received frame that was rejected."""
         with self._lock:
             self.frames_rejected += 1
 
     def count_redial(self) -> None:
-        """Count a link that was silent and got a fresh socket."""
+        """Count a silent link that was given a new socket."""
         with self._lock:
             self.redials += 1
