--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/listener.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/listener.py
@@ -15,7 +15,7 @@
 REJECTED_LOG_INTERVAL_SECONDS = 10.0
 WILDCARD_HOSTS = ("0.0.0.0", "[::]")
 
-TakeFrame = Callable[[Frame], None]
+FrameHandler = Callable[[Frame], None]
 
 
 class Listener:
@@ -25,9 +25,11 @@
     after its old link fell silent arrive, where ``Pair0`` would refuse the peer.
     """
 
-    def __init__(self, host: str, port: int, key: bytes, take: TakeFrame, traffic: Traffic) -> None:
+    def __init__(
+        self, host: str, port: int, key: bytes, on_frame: FrameHandler, traffic: Traffic
+    ) -> None:
         self._key = key
-        self._take = take
+        self._on_frame = on_frame
         self._traffic = traffic
         self._socket = pynng.Pull0(recv_timeout=RECEIVE_TIMEOUT_MS, recv_max_size=MAX_FRAME_BYTES)
         self._host = host
@@ -74,7 +76,7 @@
     def _receive(self, data: bytes) -> None:
         self._traffic.count_received(len(data))
         try:
-            self._take(decode_frame(data, self._key))
+            self._on_frame(decode_frame(data, self._key))
         except Exception as error:
             # No frame, whoever sent it and whatever fails in its handling, may end the
             # only thread that receives from peers.
