--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The accepted operators' text: apply, distribution, history."""
+"""The configuration text of the operators: apply, distribution, history."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/accepted.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/accepted.py
@@ -1,4 +1,4 @@
-"""An accepted version of the operators' text."""
+"""An accepted version of the configuration text."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Pointer(NamedTuple):
-    """Which text is in force: its version, which only rises, and its digest."""
+    """An accepted text, by its version, which only rises, and its digest."""
 
     version: int
     digest: str
@@ -15,14 +15,14 @@
 
 
 class VersionedText(NamedTuple):
-    """A version with its text, as the platform or a peer gave it."""
+    """A version with its text, as received from the platform or a peer."""
 
     pointer: Pointer
     text: str
 
 
 class Accepted(NamedTuple):
-    """A version in force at this instance, with its text and typed form."""
+    """A version in force at this instance, with its text and its parsed form."""
 
     pointer: Pointer
     text: str
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
@@ -1,4 +1,4 @@
-"""The version in force at this instance; it only rises."""
+"""The configuration version in force at this instance, which only rises."""
 
 import threading
 from collections.abc import Callable
@@ -26,10 +26,10 @@
 class CurrentConfiguration:
     """Follows the platform's pointer by polling, and the peers when they are ahead.
 
-    A peer that tells a higher version wakes the next poll. While the platform
-    does not answer, the text comes from a peer. An instance that has a version,
-    or has read the platform's pointer once, takes any higher one; one that has
-    neither waits for its `Quorum`.
+    A peer that announces a higher version triggers the next poll. While the
+    platform does not respond, the text comes from a peer. An instance that has a
+    version in force, or has read the platform's pointer once, accepts any higher
+    version; an instance that has neither waits for its `Quorum`.
     """
 
     def __init__(
@@ -55,31 +55,31 @@
         gossip.subscribe(TOPIC, self._on_entry)
 
     def get(self) -> Accepted | None:
-        """Return the version in force here; None before the first one."""
+        """Return the version in force; None before the first one."""
         return self._accepted
 
     def not_ready_reason(self) -> str:
-        """Return why no version is in force here yet."""
+        """Return why no version is in force yet."""
         if self._platform_read:
             return "no configuration"
         count = self._quorum.count()
         return f"no configuration: {count.live} of the {count.needed} peers needed are live"
 
     def on_change(self, listener: Listener) -> None:
-        """Call ``listener`` with each version that comes into force here."""
+        """Call ``listener`` with each version that comes into force."""
         self._listeners.append(listener)
 
     def on_wake(self, wake: Callable[[], None]) -> None:
-        """Call ``wake`` when the next `refresh` should not wait for its interval."""
+        """Call ``wake`` when `refresh` should run before its interval has passed."""
         self._wake = wake
 
     def refresh(self) -> None:
-        """Put the newest version that can be had in force."""
+        """Put the newest available version in force."""
         for offer in self._texts.take_offers():
             if self._may_accept(offer.pointer.version):
                 self.put_in_force(offer)
         if self._platform_failing:
-            # Its answer may take as long as the time-out; the peers need not wait for it.
+            # The platform may take until its timeout to respond; the peers are queried first.
             self._request_from_peers()
         try:
             self._read_platform()
@@ -90,7 +90,7 @@
             self._request_from_peers()
 
     def put_in_force(self, versioned: VersionedText) -> None:
-        """Put an accepted version in force, unless a newer one already is."""
+        """Put an accepted version in force, unless it or a newer one already is."""
         if not self._is_newer(versioned.pointer.version):
             return
         accepted = _load(versioned)
@@ -151,7 +151,7 @@
 
 
 def _load(versioned: VersionedText) -> Accepted | None:
-    """Return the typed form; None, with a log line, when this release cannot read it."""
+    """Return the parsed version; None, with a log line, if this release cannot read it."""
     try:
         configuration = load_accepted_text("configuration", versioned.text)
     except CheckFailed as failed:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/memory_fit.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/memory_fit.py
@@ -1,4 +1,4 @@
-"""Whether a configuration can fit the memory of the engines at all."""
+"""Checks whether a configuration can fit the memory of the engines."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -9,16 +9,16 @@
 
 
 class ModelGroup(NamedTuple):
-    """A model with its adapters, which stay together on one engine."""
+    """A model with its adapters, which share one engine."""
 
     model: str
     size_bytes: int
 
 
 class MemoryFit(NamedTuple):
-    """What is needed and what there is, in bytes, the cache's share taken off.
+    """Needed and available memory in bytes, without the share of the cache.
 
-    ``unreported`` lists the engines whose memory is not known yet.
+    ``unreported`` lists the engines that have not reported their memory yet.
     """
 
     needed_bytes: int
@@ -29,11 +29,14 @@
 
     @property
     def conclusive(self) -> bool:
-        """Whether every engine has reported; an empty list may just not be read yet."""
+        """Whether every engine has reported.
+
+        Without engines it is false: the member list may not have been read yet.
+        """
         return self.largest_engine_bytes > 0 and not self.unreported
 
     def problem(self) -> str:
-        """Return what does not fit the reported engines; empty when all does."""
+        """Return what does not fit the reported engines; empty if everything fits."""
         if self.needed_bytes > self.available_bytes:
             return (
                 f"the listed models need {self.needed_bytes} bytes; the engines have"
@@ -50,9 +53,9 @@
 def compute_memory_fit(
     configuration: Configuration, engines: Mapping[str, EngineView]
 ) -> MemoryFit:
-    """Return how ``configuration`` compares with what the engines have reported.
+    """Return how ``configuration`` compares with the memory that engines reported.
 
-    It is a necessary condition only: sums can fit where no placement does.
+    This is a necessary condition only: the sums can fit where no placement does.
     """
     share = 1 - configuration.policy.cache_share
     active = {key: view for key, view in engines.items() if not view.leaving}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_rosters.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_rosters.py
@@ -1,4 +1,4 @@
-"""Which instances of the own failure domain the peers know of."""
+"""The instances of the own failure domain that peers have learned of."""
 
 from collections.abc import Callable
 
@@ -13,11 +13,11 @@
 
 
 class PeerRosters:
-    """Asks the linked peers for their rosters, and answers such questions.
+    """Requests the rosters of the linked peers, and responds to such requests.
 
-    An instance that starts without the platform cannot tell a stale peer from
-    a majority until it knows how many peers there are. Entries trickle in one
-    by one, the first peer's own before those of others; a roster comes whole.
+    An instance that starts without the platform cannot distinguish a stale peer
+    from a majority until it has the number of peers. Entries arrive one by one, those
+    of the first peer before those of others; a roster arrives complete.
     """
 
     def __init__(
@@ -32,22 +32,22 @@
         mesh.on_direct(TOPIC, self._on_direct)
 
     def on_response(self, wake: Callable[[], None]) -> None:
-        """Call ``wake`` when a roster came."""
+        """Call ``wake`` when a roster arrives."""
         self._wake = wake
 
     def request(self) -> None:
-        """Ask every linked peer that has not answered."""
+        """Request the roster of every linked peer that has not responded."""
         for peer in self._mesh.linked_peers():
             if peer not in self._rosters_by_peer:
                 self._mesh.send_direct(peer, TOPIC, msgspec.msgpack.encode(None))
 
     @property
     def has_response(self) -> bool:
-        """Whether any peer has answered."""
+        """Whether any peer has responded."""
         return bool(self._rosters_by_peer)
 
     def peers(self) -> set[str]:
-        """Return all peers of the own failure domain that this instance has learned of."""
+        """Return all peers of the own failure domain, as listed, announced or in a roster."""
         received = frozenset().union(*list(self._rosters_by_peer.values()))
         return (self._own_roster() | received) - {self._instance.id}
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_texts.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/peer_texts.py
@@ -1,4 +1,4 @@
-"""Texts asked of peers, for when the platform cannot give them."""
+"""Requests texts from peers when the platform is unavailable."""
 
 import itertools
 import queue
@@ -17,7 +17,7 @@
 
 
 class TextRequest(msgspec.Struct, frozen=True, array_like=True, tag=0):
-    """Send the version in force, if it is ``version`` or a later one."""
+    """Requests the version in force, if it is ``version`` or a later one."""
 
     version: int
 
@@ -33,10 +33,11 @@
 
 
 class PeerTexts:
-    """Asks linked peers for a version and answers them; offers wait in a queue.
+    """Requests a version from linked peers and responds to their requests.
 
-    Offers come in on the thread that hears all peers, which must not check and
-    build a text of hundreds of kilobytes; `take_offers` hands them to the caller's.
+    Offers arrive on the thread that receives from all peers, which must not check
+    and parse a text of hundreds of kilobytes. They wait in a queue for the thread
+    that calls `take_offers`.
     """
 
     def __init__(self, mesh: Mesh) -> None:
@@ -48,19 +49,19 @@
         mesh.on_direct(TOPIC, self._on_direct)
 
     def serve(self, in_force: Callable[[], VersionedText | None], wake: Callable[[], None]) -> None:
-        """Answer with what ``in_force`` returns; call ``wake`` when an offer came."""
+        """Respond with what ``in_force`` returns; call ``wake`` when an offer arrives."""
         self._in_force = in_force
         self._wake = wake
 
     def request(self, peers: set[str], version: int) -> None:
-        """Request one linked peer of ``peers``, another one each time."""
+        """Send a request to one linked peer of ``peers``, another one each time."""
         linked = [peer for peer in self._mesh.linked_peers() if peer in peers]
         if linked:
             peer = linked[next(self._request_count) % len(linked)]
             self._send(peer, TextRequest(version))
 
     def take_offers(self) -> list[VersionedText]:
-        """Return the offers that came since the last call, whole ones only."""
+        """Return the valid offers that arrived since the last call."""
         queued = [self._offers.get() for _ in range(self._offers.qsize())]
         texts = [_decompress(offer) for offer in queued]
         return [versioned for versioned in texts if versioned is not None]
@@ -90,6 +91,8 @@
         log_event("configuration_offer_invalid", level="WARNING", error=repr(error))
         return None
     if sha256_hex(data) != offer.pointer.digest:
-        log_event("configuration_offer_invalid", level="WARNING", error="digest differs")
+        log_event(
+            "configuration_offer_invalid", level="WARNING", error="text does not match its digest"
+        )
         return None
     return VersionedText(offer.pointer, text)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/quorum.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/quorum.py
@@ -1,4 +1,4 @@
-"""How much of its failure domain an instance must have heard before it trusts it."""
+"""The number of live peers that an instance needs before it accepts their version."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,10 @@
 
 
 class PeerCount(NamedTuple):
-    """Peers heard and needed, and the highest version that those heard have in force."""
+    """Live and needed peers, and the highest version in force at the live ones.
+
+    A peer without a version does not count as live.
+    """
 
     live: int
     needed: int
@@ -17,14 +20,14 @@
 
 
 class Quorum:
-    """Peers of the own failure domain: how many there are, and who is heard.
+    """Counts the peers of the own failure domain and those of them that are live.
 
     An instance that starts without the platform has no version of its own to
-    compare with, so one stale peer could hand it an old one. It therefore
-    waits for a strict majority of the peers of its failure domain that it has
-    learned of: from the list, the seeds in its settings, the board, and the
-    roster of at least one peer (a stale peer still names those that it lost).
-    With a single peer that one is the majority: it is what the domain serves.
+    compare with, so one stale peer could give it an old one. It therefore waits
+    for a strict majority of the peers of its failure domain that it has learned
+    of: from the member list, the seeds in its settings, the gossip state, and the
+    roster of at least one peer (a stale peer still names those it lost contact
+    with). A single peer is the majority: its version is what the domain serves.
     """
 
     def __init__(
@@ -42,7 +45,7 @@
         self.rosters = rosters
 
     def count(self) -> PeerCount:
-        """Return how many peers were heard and how many are needed."""
+        """Return how many peers are live and how many are needed."""
         entries = self._versions.by_instance()
         peers = self.rosters.peers()
         live = [p for p in peers if p in entries and entries[p].version > 0 and self._is_live(p)]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/store.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/store.py
@@ -1,4 +1,4 @@
-"""The operators' text in the platform: objects by digest, one pointer row."""
+"""The configuration text in the platform: objects by digest, and one pointer row."""
 
 import datetime
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Applied:
-    """The text is accepted; ``repeated`` when an earlier apply had done it already."""
+    """The text is accepted; ``repeated`` if an earlier apply had accepted it already."""
 
     pointer: Pointer
     repeated: bool = False
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True)
 class ApplyConflict:
-    """Another version came first and is in force, None for no version at all.
+    """Another version, ``current``, is in force; None if there is no version at all.
 
-    ``superseded`` is the version that this very text had become before, when
-    a later one has replaced it since.
+    ``superseded`` is the version that this same text became in an earlier apply,
+    if a later version has replaced it since.
     """
 
     current: Pointer | None
@@ -44,43 +44,49 @@
 
 
 class ConfigurationStore:
-    """Reads the pointer and the texts; writes by compare-and-set."""
+    """Reads the pointer and the texts; writes the pointer by compare-and-set."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
 
     def pointer(self) -> Pointer | None:
-        """Return the pointer in the platform; raise `PlatformUnavailable`."""
+        """Return the pointer in the platform.
+
+        Raises `PlatformUnavailable` if it cannot be read.
+        """
         return _to_pointer(self._row(POINTER_KEY))
 
     def text(self, digest: str) -> str:
-        """Return the text of ``digest``; raise `PlatformUnavailable`."""
+        """Return the text with ``digest``.
+
+        Raises `PlatformUnavailable` if it cannot be read.
+        """
         return self._platform.objects.get(f"configuration/{digest}").decode()
 
     def history(self) -> list[Pointer]:
-        """Return every accepted version, the newest first."""
+        """Return all accepted versions, newest first."""
         rows = self._platform.table.scan(HISTORY_PREFIX)
         pointers = [Pointer(**row.value) for row in rows.values()]
         return sorted(pointers, key=lambda p: p.version, reverse=True)
 
     def past_pointer(self, version: int) -> Pointer | None:
-        """Return accepted version ``version``; None when there is none."""
+        """Return the pointer of accepted version ``version``; None if there is none."""
         return _to_pointer(self._row(_history_key(version)))
 
     def apply(self, text: str, base_version: int, author: str) -> Applied | ApplyConflict:
         """Put ``text`` in force if ``base_version`` still is.
 
-        Raises `PlatformUnavailable` when nothing was changed, and
-        `WriteUnknown` when that cannot be told; to apply the same text on the
-        same base again is then safe and tells the outcome.
+        Raises `PlatformUnavailable` if nothing was changed, and `WriteUnknown` if
+        the outcome is unknown: to apply the same text on the same base again is
+        then safe and returns the outcome.
         """
         digest = sha256_hex(text.encode())
         row = self._row(POINTER_KEY)
         current = _to_pointer(row)
         if (current.version if current else 0) != base_version:
             return self._resolve_conflict(digest, base_version, current)
-        # The object comes first: a pointer never names a text that is not there, and
-        # an outage between the two writes leaves the old version in force.
+        # The object is written first: a pointer never names a missing text, and an
+        # outage between the two writes leaves the old version in force.
         self._put_object(digest, text)
         now = datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds")
         return self._commit(Pointer(base_version + 1, digest, author, now), row)
@@ -89,13 +95,13 @@
         return self._platform.table.read([key])[key]
 
     def _put_object(self, digest: str, text: str) -> None:
-        """Store the text; it is named by its digest, so a lost reply is just repeated."""
+        """Store the text. Its name is its digest, so a write without a reply can be repeated."""
         for _ in range(MAX_OBJECT_ATTEMPTS):
             try:
                 return self._platform.objects.put(f"configuration/{digest}", text.encode())
             except WriteUnknown as error:
                 failure = error
-        raise PlatformUnavailable(f"the text could not be stored: {failure}")
+        raise PlatformUnavailable(f"the configuration text could not be stored: {failure}")
 
     def _commit(self, pointer: Pointer, row: Row | None) -> Applied | ApplyConflict:
         value = pointer._asdict()
@@ -115,10 +121,10 @@
     def _resolve_conflict(
         self, digest: str, base_version: int, current: Pointer | None
     ) -> Applied | ApplyConflict:
-        """Tell a repeated apply, whose first answer was lost, from a lost race.
+        """Distinguish a repeated apply, whose first response was lost, from a conflict.
 
-        The version after the base bears this very text: the operator's wish is
-        done, and to refuse it would make them merge their text with itself.
+        If the version after the base has this same text, the apply succeeded:
+        to refuse it would make operators merge their text with itself.
         """
         if current is None or current.version <= base_version:
             return ApplyConflict(current)
