--- a/packages/redwingscale-daemon/tests/functional/control/conftest.py
+++ b/packages/redwingscale-daemon/tests/functional/control/conftest.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes, and the example cut down to fit it."""
+"""A small deployment of real processes, and the example text reduced to fit it."""
 
 import json
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def small_text(izmir_text):
-    """Return the example's text with one model only; ``size_bytes`` as asked."""
+    """Return a factory of the example text with one model only, of ``size_bytes`` if given."""
     whole = json.loads(izmir_text)
 
     def make(size_bytes=None, share=1):
--- a/packages/redwingscale-daemon/tests/functional/control/test_cut_off.py
+++ b/packages/redwingscale-daemon/tests/functional/control/test_cut_off.py
@@ -1,4 +1,4 @@
-"""A failure domain cut from the others and from the platform."""
+"""A failure domain cut off from the others and from the platform."""
 
 import re
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def cut_off(make_deployment, small_shape):
-    """Two failure domains with an instance and an engine each; relays between the instances."""
+    """Two failure domains with one instance and one engine each; relays link the instances."""
     engines = tuple(EngineShape(f"e-{d}", d, "alder", 1, 160 * GIGABYTE) for d in "ab")
     shape = small_shape._replace(instances_by_id={}, engines=engines)
     deployment = make_deployment(shape)
@@ -29,7 +29,7 @@
         relay.close()
 
 
-def ask(client, instance, number):
+def complete(client, instance, number):
     return client.complete(instance, "clerks", "listing-vetter", f"lot {number}", 10)
 
 
@@ -38,7 +38,7 @@
     return sorted(models.get(UNIT, {}).get("engines", []))
 
 
-def orders(deployment):
+def accepted_orders(deployment):
     """Return every order that the engines have accepted."""
     urls = [deployment.members_by_id[e].admin_url for e in ("e-a", "e-b")]
     return [urllib3.request("GET", f"{url}/admin/record").json()["accepted"] for url in urls]
@@ -49,12 +49,12 @@
     return [int(v) for v in re.findall(r"event=configuration_in_force .*version=(\d+)", log)]
 
 
-def test_a_domain_cut_from_all_goes_on_serving_and_rejoins(cut_off, small_text):
+def test_domain_cut_off_from_all_continues_to_serve_and_rejoins(cut_off, small_text):
     """
-    Domain a loses the others and the platform, for longer than any lease, while
-    an operator changes the text elsewhere. Callers in a go on being answered by
-    the engine there. When the cut ends, a takes the new version, nothing goes
-    back, and no model is moved.
+    Domain a is cut off from the others and from the platform for longer than any
+    lease, while an operator applies a new version elsewhere. The engine in a still
+    answers the callers there. When the partition ends, a accepts the new version,
+    no version falls, and no model is moved.
     """
     deployment, client, relays = cut_off
     client.apply("b1", small_text(share=1))
@@ -63,16 +63,17 @@
             lambda i=instance: engines_of(client, i) == ["e-a", "e-b"],
             "both replicas",
         )
-    before = orders(deployment)
+    before = accepted_orders(deployment)
     for relay in relays:
         relay.cut()
     deployment.set_faults("platform", cut_instances=["a1"])
     client.wait_for(
-        lambda: not client.operate("a1", "GET", "/status").document["session_valid"], "the cut"
+        lambda: not client.operate("a1", "GET", "/status").document["session_valid"],
+        "the cut is noticed",
     )
 
     assert client.apply("b1", small_text(share=2), 1).document["version"] == 2
-    answers = [ask(client, "a1", n) for n in range(REQUESTS)]
+    answers = [complete(client, "a1", n) for n in range(REQUESTS)]
 
     assert [a.text for a in answers] == [answer_text(UNIT, f"lot {n}", 10) for n in range(REQUESTS)]
     assert client.operate("a1", "GET", "/status").document["ready"]
@@ -83,8 +84,11 @@
     deployment.set_faults("platform", cut_instances=[])
     client.wait_for(lambda: versions_in_force(deployment, "a1") == [1, 2], "a1 has version 2")
     client.wait_for(
-        lambda: client.operate("a1", "GET", "/status").document["session_valid"], "a1 is back"
+        lambda: client.operate("a1", "GET", "/status").document["session_valid"],
+        "the session of a1 is valid again",
     )
-    assert [ask(client, i, 99).text for i in INSTANCES] == [answer_text(UNIT, "lot 99", 10)] * 2
+    assert [complete(client, i, 99).text for i in INSTANCES] == [
+        answer_text(UNIT, "lot 99", 10)
+    ] * 2
     assert versions_in_force(deployment, "b1") == [1, 2]
-    assert orders(deployment) == before
+    assert accepted_orders(deployment) == before
--- a/packages/redwingscale-daemon/tests/functional/control/test_operators_configuration.py
+++ b/packages/redwingscale-daemon/tests/functional/control/test_operators_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' calls on the configuration, over HTTP at real instances."""
+"""The operators' configuration calls, over HTTP to real instances."""
 
 from redwingscale_standins.launcher.shape import GIGABYTE
 
@@ -7,17 +7,17 @@
 
 def wait_in_force(client, version):
     def everywhere():
-        told = client.operate("i1", "GET", "/configuration/in-force").document
-        return told == {"i1": version, "i2": version}
+        in_force = client.operate("i1", "GET", "/configuration/in-force").document
+        return in_force == {"i1": version, "i2": version}
 
     client.wait_for(everywhere, f"version {version} in force")
 
 
-def test_apply_conflict_rollback_and_where_it_is_in_force(small, small_text):
+def test_apply_conflict_rollback_and_versions_in_force(small, small_text):
     """
-    Two operators edit version 1 through different instances. The second gets
-    the other's version with both differences; version 1 then returns as a new
-    version, and the history holds all three.
+    Two operators edit version 1 through different instances. The second receives
+    the other's version with both differences. Version 1 is then restored as a new
+    version, and the history has all three.
     """
     _, client = small
     assert client.apply("i1", small_text(share=1)).document["version"] == 1
@@ -42,7 +42,7 @@
     assert client.operate("i1", "POST", "/configuration/rollback", unknown).status == 404
 
 
-def test_an_apply_in_an_outage_changes_nothing_and_says_so(small, small_text):
+def test_apply_in_an_outage_changes_nothing_and_reports_that(small, small_text):
     deployment, client = small
     client.apply("i1", small_text(share=1))
     wait_in_force(client, 1)
@@ -57,17 +57,17 @@
     assert client.apply("i1", small_text(share=2), 1).document["version"] == 2
 
 
-def test_a_lost_reply_is_no_failed_apply(small, small_text):
+def test_lost_reply_does_not_fail_the_apply(small, small_text):
     deployment, client = small
     deployment.set_faults("platform", lose_replies=1)
 
     assert client.apply("i1", small_text()).document["version"] == 1
 
 
-def test_what_cannot_fit_memory_is_refused_with_the_figures(small, small_text):
+def test_text_that_cannot_fit_memory_is_refused_with_the_sizes(small, small_text):
     """
-    A text lists a model that no engine can hold. Were it accepted, the model
-    would never answer, and nobody would know why.
+    A text lists a model that fits no engine. If it were accepted, requests for the
+    model would fail without a visible reason.
     """
     _, client = small
     client.wait_for(
@@ -85,7 +85,7 @@
     assert client.operate("i1", "GET", CONFIGURATION).document["version"] == 0
 
 
-def test_memory_not_reported_yet_is_a_warning(make_deployment, small_shape, small_text):
+def test_memory_not_yet_reported_gives_a_warning(make_deployment, small_shape, small_text):
     from redwingscale_standins.launcher.client import Client
 
     shape = small_shape._replace(instances_by_id={"i1": "a"}, engines=())
@@ -114,10 +114,10 @@
     assert "e9" in accepted.document["warnings"][0]
 
 
-def test_an_instance_restarted_in_an_outage_serves_again(small, small_shape, small_text):
+def test_instance_restarted_in_an_outage_serves_again(small, small_shape, small_text):
     """
-    The platform is down when an instance is replaced. It takes configuration
-    and upstreams from its peer and becomes ready without the platform.
+    The platform is down when an instance is replaced. The new instance receives
+    configuration and upstreams from its peer and becomes ready without the platform.
     """
     deployment, client = small
     client.apply("i1", small_text())
--- a/packages/redwingscale-daemon/tests/functional/control/test_platform_down.py
+++ b/packages/redwingscale-daemon/tests/functional/control/test_platform_down.py
@@ -1,20 +1,20 @@
-"""Requests that need no claim go on without the platform."""
+"""Requests without a claim are served while the platform is down."""
 
 import pytest
 from redwingscale_standins.engine.generation import answer_text
 
 UNIT = "listing-vetter@v1"
 REQUESTS = 20
-# Shorter than the time-out of a call to the platform.
+# Shorter than the timeout of a call to the platform.
 DEADLINE = {"X-Deadline-Seconds": "1.9"}
 
 
 @pytest.mark.parametrize("faults", [{"down": True}, {"slow_seconds": 5.0}])
-def test_streams_go_on_without_the_platform(small, small_text, faults):
+def test_streams_are_served_without_the_platform(small, small_text, faults):
     """
-    The platform's store is down, or each of its calls takes longer than any
-    time-out. Requests need nothing of it: all are answered within a deadline
-    that one wait for the store would break.
+    The platform's store is down, or each call to it takes longer than any
+    timeout. Requests do not need the store: all are answered within a deadline
+    that one wait for the store would exceed.
     """
     deployment, client = small
     client.apply("i1", small_text())
--- a/packages/redwingscale-daemon/tests/functional/control/test_version_change.py
+++ b/packages/redwingscale-daemon/tests/functional/control/test_version_change.py
@@ -1,4 +1,4 @@
-"""A new version takes over from the old one while requests come."""
+"""A new version replaces the old one while requests arrive."""
 
 import json
 
@@ -8,14 +8,14 @@
 
 MODEL = "listing-vetter"
 SLOW_WEIGHTS = 12e9
-"""Bytes a second: a load takes two seconds."""
+"""Bytes per second: a load takes two seconds."""
 
 
 def test_requests_are_answered_while_a_new_version_loads(make_deployment, small_shape, small_text):
     """
     An operator serves v2 of the only model, whose weights take seconds to load.
-    Callers ask all the while and must get whole answers: v1 answers until v2 is
-    ready. A routing or a plan that switches at once answers "not resident".
+    Callers send requests all the time and must get whole responses: v1 answers until
+    v2 is ready. Routing or a plan that switched at once would answer "not resident".
     """
     deployment = make_deployment(small_shape, Speed(SLOW_WEIGHTS, 0.002, 0.1))
     client = Client(deployment)
@@ -31,12 +31,12 @@
 
     answered = []
 
-    def ask_all() -> bool:
+    def request_all() -> bool:
         for instance in small_shape.instances_by_id:
             answer = client.complete(instance, "clerks", MODEL, "lot 3", 8)
             answered.append(expected.get(answer.text, f"{answer.status}"))
         return answered[-2:] == ["v2", "v2"]
 
-    client.wait_for(ask_all, "the new version everywhere")
+    client.wait_for(request_all, "the new version everywhere")
 
     assert set(answered) == {"v1", "v2"}
--- a/packages/redwingscale-daemon/tests/unit/control/conftest.py
+++ b/packages/redwingscale-daemon/tests/unit/control/conftest.py
@@ -1,4 +1,4 @@
-"""Instances reduced to board, mesh and configuration, in this process, on real sockets."""
+"""Instances with gossip, mesh and configuration only, in this process, on real sockets."""
 
 import json
 import time
@@ -27,7 +27,7 @@
 
 
 class PlatformStandIn:
-    """The platform stand-in served from this process."""
+    """Serves the stand-in of the platform from this process."""
 
     def __init__(self):
         api = PlatformApi(WeightStore(40e9, 7))
@@ -55,7 +55,7 @@
 
 
 class Node:
-    """One instance's control part; ``versions`` is what came into force, in order."""
+    """Membership and configuration of one instance; ``versions`` came into force in order."""
 
     def __init__(self, settings):
         self.name = settings.instance.id
@@ -99,7 +99,7 @@
 
 @pytest.fixture
 def make_node(platform, tmp_path):
-    """Build nodes that listen; ``run`` lets them poll and link."""
+    """Return a factory of nodes that listen; ``run`` starts their polling and links."""
     nodes = []
 
     def make(name, domain="a", seeds=(), relay=None, listed=True):
@@ -144,7 +144,7 @@
 
 @pytest.fixture
 def wait_for():
-    """Poll a condition until it holds; fail after a bound that no machine should need."""
+    """Poll a condition until it is true; fail after a time that no machine should need."""
 
     def wait(condition, what="condition"):
         deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
@@ -157,7 +157,7 @@
 
 @pytest.fixture
 def text():
-    """The smallest operators' text; ``share`` tells one version from another."""
+    """Return a factory of minimal configuration texts; ``share`` distinguishes versions."""
 
     def make(share=1):
         caller = {"token_sha256": "a" * 64, "share": share}
--- a/packages/redwingscale-daemon/tests/unit/control/test_configuration_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_configuration_spread.py
@@ -21,7 +21,7 @@
     return accepted.pointer.version if accepted else 0
 
 
-def rises(node):
+def only_rises(node):
     return node.versions == sorted(set(node.versions))
 
 
@@ -34,18 +34,19 @@
         apply(number)
         wait_for(lambda n=number: all(version(node) == n for node in nodes), f"version {number}")
 
-    assert all(rises(node) for node in nodes)
+    assert all(only_rises(node) for node in nodes)
     names = [node.name for node in nodes]
     versions = [node.control.versions.versions(names) for node in nodes]
     wait_for(lambda: all(set(v.values()) == {5} for v in versions) or versions.clear(), "in force")
 
 
-def test_an_instance_restarted_in_an_outage_learns_from_its_peers(
+def test_instance_restarted_in_an_outage_gets_the_version_from_its_peers(
     make_node, platform, apply, wait_for
 ):
     """
-    The platform is down, and an instance is replaced. It knows no list and no
-    text; its seeds tell both, and it takes what its failure domain has.
+    The platform is down and an instance is replaced. It has neither a member
+    list nor a text: it reaches its peers through its seeds and accepts the
+    version of its failure domain.
     """
     peers = [make_node(f"i{n}") for n in range(3)]
     for node in peers:
@@ -55,33 +56,32 @@
     platform.faults.down = True
     peers[0].stop()
 
-    fresh = make_node("i0", seeds=[p.url for p in peers[1:]], listed=False)
-    fresh.run()
+    new_instance = make_node("i0", seeds=[p.url for p in peers[1:]], listed=False)
+    new_instance.run()
 
-    wait_for(lambda: version(fresh) == 1, "the fresh instance has version 1")
-    assert fresh.control.current.get().text == peers[1].control.current.get().text
+    wait_for(lambda: version(new_instance) == 1, "the new instance has version 1")
+    assert new_instance.control.current.get().text == peers[1].control.current.get().text
 
 
-def test_an_instance_that_hears_nobody_stays_unready(make_node, platform, wait_for):
+def test_instance_without_live_peers_stays_unready(make_node, platform, wait_for):
     platform.faults.down = True
-    fresh = make_node("i0", seeds=["tcp://127.0.0.1:1"], listed=False)
-    fresh.run()
+    new_instance = make_node("i0", seeds=["tcp://127.0.0.1:1"], listed=False)
+    new_instance.run()
 
-    wait_for(lambda: fresh.control.current._platform_failing, "the platform was tried")
-    reason = fresh.control.current.not_ready_reason()
+    wait_for(lambda: new_instance.control.current._platform_failing, "the platform was tried")
+    reason = new_instance.control.current.not_ready_reason()
 
     assert reason == "no configuration: 0 of the 1 peers needed are live"
-    assert fresh.versions == []
+    assert new_instance.versions == []
 
 
-def test_a_single_stale_peer_does_not_bring_an_old_version_back(
-    make_node, platform, apply, wait_for
-):
+def test_single_stale_peer_does_not_restore_an_old_version(make_node, platform, apply, wait_for):
     """
-    One instance was cut from all others before version 2 came into force, and
-    still serves version 1. In an outage a fresh instance reaches first only
-    this one. To take version 1 would put back what operators replaced; it
-    waits until most of its failure domain is heard and then takes version 2.
+    One instance was cut off from all others before version 2 came into force
+    and still serves version 1. In an outage a new instance first reaches only
+    this one. To accept version 1 would restore what operators replaced: the new
+    instance waits until a majority of its failure domain is live, then accepts
+    version 2.
     """
     stale, *others = [make_node(f"i{n}") for n in range(4)]
     for node in (stale, *others):
@@ -91,20 +91,21 @@
     for node in others:
         node.stop()
     platform.faults.down = True
-    fresh = make_node("fresh", seeds=[stale.url], listed=False)
-    fresh.run()
+    new_instance = make_node("fresh", seeds=[stale.url], listed=False)
+    new_instance.run()
 
     wait_for(
-        lambda: fresh.sees("i0") and fresh.control.versions.by_instance(), "the stale peer is seen"
+        lambda: new_instance.sees("i0") and new_instance.control.versions.by_instance(),
+        "the stale peer is seen",
     )
     wait_for(
-        lambda: "of the 3" in fresh.control.current.not_ready_reason(),
+        lambda: "of the 3" in new_instance.control.current.not_ready_reason(),
         "the stale peer names the others",
     )
     for _ in range(5):
-        fresh.control.current.refresh()
-    assert fresh.versions == []
-    reason = fresh.control.current.not_ready_reason()
+        new_instance.control.current.refresh()
+    assert new_instance.versions == []
+    reason = new_instance.control.current.not_ready_reason()
     assert reason == "no configuration: 1 of the 3 peers needed are live"
 
     platform.faults.down = False
@@ -113,14 +114,14 @@
     for node in back:
         node.run()
     wait_for(lambda: all(version(node) == 2 for node in back), "the others have version 2")
-    wait_for(lambda: fresh.versions, "the fresh instance has a version")
-    assert fresh.versions == [2]
+    wait_for(lambda: new_instance.versions, "the new instance has a version")
+    assert new_instance.versions == [2]
 
 
-def test_an_older_version_of_a_peer_is_ignored(make_node, platform, apply, text, wait_for):
+def test_older_version_of_a_peer_is_ignored(make_node, platform, apply, text, wait_for):
     """
-    A peer that missed version 2 offers version 1, by its entry and by its text,
-    to an instance that has version 2.
+    A peer that did not receive version 2 offers version 1, with its entry and
+    with its text, to an instance that has version 2.
     """
     node, peer = make_node("a"), make_node("b")
     old = apply(1)
@@ -138,12 +139,12 @@
     assert node.versions == [2]
 
 
-def test_a_failure_domain_cut_from_the_platform_hears_from_the_others(
+def test_failure_domain_cut_off_from_the_platform_gets_the_version_from_others(
     make_node, platform, apply, wait_for
 ):
     """
     Domain a cannot reach the platform while an operator applies version 2
-    elsewhere. Its instances hear of it from peers and get the text from them.
+    elsewhere. Its instances receive the version and its text from peers.
     """
     nodes = [make_node(f"{domain}{n}", domain) for domain in "ab" for n in range(3)]
     for node in nodes:
@@ -155,16 +156,17 @@
     apply(2)
 
     wait_for(lambda: all(version(node) == 2 for node in nodes), "version 2")
-    assert all(rises(node) for node in nodes)
+    assert all(only_rises(node) for node in nodes)
 
 
-def test_a_failure_domain_cut_from_all_keeps_its_version_and_rejoins(
+def test_failure_domain_cut_off_from_all_keeps_its_version_and_rejoins(
     make_node, make_relay, platform, apply, wait_for
 ):
     """
-    Domain a is cut from domain b and from the platform; b gets version 2. a
-    goes on with version 1. When the cut ends, a takes version 2; nobody goes
-    back, and entries of the time of the cut arrive on both sides.
+    Domain a is cut off from domain b and from the platform, and b gets version
+    2. Domain a continues with version 1. When the partition ends, a accepts
+    version 2, no version falls, and entries published during the partition
+    arrive on both sides.
     """
     relays = [make_relay() for _ in range(2)]
     a, b = make_node("a", "a", relay=relays[0]), make_node("b", "b", relay=relays[1])
@@ -191,10 +193,10 @@
     assert b.versions == [1, 2]
 
 
-def test_a_text_missing_in_the_object_store_comes_from_a_peer(make_node, platform, apply, wait_for):
+def test_text_missing_in_the_object_store_comes_from_a_peer(make_node, platform, apply, wait_for):
     """
-    The pointer can be read and its text cannot: the object store is down by
-    itself. A peer that has the text gives it.
+    The pointer can be read and its text cannot, since only the object store is
+    down. A peer that has the text sends it.
     """
     holder = make_node("a")
     holder.run()
@@ -209,7 +211,9 @@
     wait_for(lambda: version(late) == 1, "the text came from the peer")
 
 
-def test_a_text_that_this_release_cannot_read_leaves_the_old_one(make_node, apply, wait_for, text):
+def test_text_that_this_release_cannot_read_leaves_the_old_one_in_force(
+    make_node, apply, wait_for, text
+):
     node = make_node("a")
     node.run()
     apply(1)
--- a/packages/redwingscale-daemon/tests/unit/control/test_configuration_store.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""Applying a text: races, lost replies, outages between the writes."""
+"""Applying a text: conflicts, lost replies and outages between the writes."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -24,7 +24,7 @@
 
 
 class FailingTable:
-    """Passes on to a table; ``commits`` holds what each commit does, in order."""
+    """Wraps a table; ``commits`` replaces the first commits, in order."""
 
     def __init__(self, table, commits):
         self._table = table
@@ -57,10 +57,10 @@
     raise PlatformUnavailable("down")
 
 
-def test_of_two_operators_at_once_one_wins_and_the_other_sees_it(store, text):
+def test_of_concurrent_applies_one_succeeds_and_the_others_conflict(store, text):
     """
-    Two operators read version 1 and apply different texts at the same moment.
-    One becomes version 2; the other must not replace it unseen.
+    Several operators read version 1 and apply different texts concurrently.
+    One text becomes version 2; the others must not replace it unnoticed.
     """
     store.apply(text(1), 0, "first")
 
@@ -75,9 +75,9 @@
     assert [p.version for p in store.history()] == [2, 1]
 
 
-def test_a_lost_reply_to_the_text_is_repeated(store, platform, text):
+def test_text_whose_reply_is_lost_is_written_again(store, platform, text):
     """
-    The platform stores the text and its reply is lost. The text is named by
+    The platform stores the text and its reply is lost. The name of the text is
     its digest, so to store it again changes nothing.
     """
     platform.faults.lose_replies = 1
@@ -85,10 +85,10 @@
     assert store.apply(text(), 0, "operator").pointer == store.pointer()
 
 
-def test_a_lost_reply_to_the_pointer_is_resolved(client, store, platform, text):
+def test_lost_reply_to_the_pointer_is_resolved(client, store, platform, text):
     """
-    The platform moves the pointer and its reply is lost. The operator must
-    not be told that the apply failed, nor that somebody else came first.
+    The platform changes the pointer and its reply is lost. The result must be
+    neither a failed apply nor a conflict with another operator.
     """
 
     def commit(transaction):
@@ -101,10 +101,11 @@
     assert [p.version for p in store.history()] == [1]
 
 
-def test_a_write_that_takes_effect_late_counts_once(client, text):
+def test_write_that_takes_effect_late_counts_once(client, text):
     """
-    The reply to the pointer's write does not come and the row still is as it
-    was: the write is on its way. Sent again, both arrive; one takes effect.
+    The reply to the write of the pointer does not arrive and the row is still
+    unchanged, since the write is delayed. It is sent again, both writes arrive
+    and one takes effect.
     """
     late = []
 
@@ -112,20 +113,20 @@
         late.append(transaction)
         raise WriteUnknown("no reply")
 
-    def overtaken(transaction):
+    def commit_after_delayed(transaction):
         client.table.commit(late[0])
         return client.table.commit(transaction)
 
-    outcome = failing_store(client, delay, overtaken).apply(text(), 0, "operator")
+    outcome = failing_store(client, delay, commit_after_delayed).apply(text(), 0, "operator")
 
     assert isinstance(outcome, Applied)
     assert ConfigurationStore(client).pointer().version == 1
 
 
-def test_a_write_that_another_overtook_is_lost(client, store, text):
+def test_lost_write_that_another_preceded_is_a_conflict(client, store, text):
     """
-    The reply to the pointer's write is lost and so is the write; meanwhile
-    another operator's version came. The late one must learn that it lost.
+    The write of the pointer and its reply are lost, and another operator's
+    version is accepted meanwhile. The first apply must report the conflict.
     """
 
     def lose(transaction):
@@ -138,10 +139,10 @@
     assert outcome.current.author == "other"
 
 
-def test_an_outage_between_the_writes_leaves_the_old_version(client, store, text):
+def test_outage_between_the_writes_leaves_the_old_version(client, store, text):
     """
-    The text is stored, then the platform goes down before the pointer moves.
-    The old version stays in force, and the same apply works after the outage.
+    The text is stored, and the platform fails before the pointer changes. The
+    old version stays in force, and the same apply succeeds after the outage.
     """
     store.apply(text(1), 0, "operator")
 
@@ -152,10 +153,10 @@
     assert store.apply(text(2), 1, "operator").pointer.version == 2
 
 
-def test_an_outcome_that_cannot_be_told_is_said_so(client, store, text):
+def test_unknown_outcome_is_reported_as_unknown(client, store, text):
     """
-    Reply after reply is lost. To claim either outcome could be wrong, so the
-    operator hears that it is unknown, applies again, and learns the truth.
+    All replies are lost. Success and failure could both be wrong, so the outcome
+    is reported as unknown; a repeated apply returns the actual one.
     """
     with pytest.raises(WriteUnknown):
         failing_store(client, *[raise_unknown] * 9).apply(text(), 0, "operator")
@@ -163,17 +164,17 @@
     assert store.apply(text(), 0, "operator").pointer.version == 1
 
 
-def test_an_apply_repeated_after_a_lost_answer_is_recognised(store, text):
+def test_apply_repeated_after_a_lost_response_is_recognised(store, text):
     """
     The text was accepted, but the operator's connection broke before the
-    answer. The same command again must not look like a lost race with oneself.
+    response. The same command must not conflict with itself.
     """
     first = store.apply(text(1), 0, "operator")
 
     assert store.apply(text(1), 0, "operator") == Applied(first.pointer, repeated=True)
 
 
-def test_an_apply_repeated_after_it_was_replaced_is_told_so(store, text):
+def test_apply_repeated_after_its_version_was_replaced_is_a_conflict(store, text):
     first = store.apply(text(1), 0, "operator")
     second = store.apply(text(2), 1, "other")
 
@@ -182,5 +183,5 @@
     assert again == ApplyConflict(second.pointer, superseded=first.pointer)
 
 
-def test_a_base_that_never_was_is_refused(store, text):
+def test_base_version_that_never_existed_is_refused(store, text):
     assert store.apply(text(), 7, "operator") == ApplyConflict(None)
--- a/packages/redwingscale-daemon/tests/unit/control/test_membership.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_membership.py
@@ -1,4 +1,4 @@
-"""Links between instances: heartbeats, entries, silence, strangers."""
+"""Links between instances: heartbeats, entries, silence and invalid frames."""
 
 import pynng
 import pytest
@@ -68,22 +68,23 @@
     assert reached(links, "i0") == set(links)
 
 
-def test_every_instance_hears_all_of_its_domain_and_notices_one_that_ends(make_node, wait_for):
+def test_every_instance_sees_its_whole_domain_and_notices_one_that_ends(make_node, wait_for):
     """
-    Nine instances link to four each. One ends; those that have no link to it
-    must see its silence as well, since any of them may have to take over.
+    Nine instances link to four peers each, and one ends. Those without a link
+    to it must notice its silence too, since any of them may have to take its
+    leases.
     """
     nodes = [make_node(f"i{n}") for n in range(INSTANCES)]
     for node in nodes:
         node.run()
     pairs = [(a, b) for a in nodes for b in nodes if a is not b]
-    wait_for(lambda: all(a.sees(b.name) for a, b in pairs), "all hear all")
+    wait_for(lambda: all(a.sees(b.name) for a, b in pairs), "all see all")
 
     nodes[-1].stop()
 
     rest = nodes[:-1]
-    wait_for(lambda: not any(a.sees(nodes[-1].name) for a in rest), "its silence is seen")
-    # Four as listed, and at most four more that close the rings around the dead one.
+    wait_for(lambda: not any(a.sees(nodes[-1].name) for a in rest), "its silence is noticed")
+    # Four listed neighbours, and at most four more that close the rings around the dead one.
     assert all(len(node.control.mesh.linked_peers()) <= 8 for node in rest)
 
 
@@ -97,17 +98,18 @@
     wait_for(lambda: all(n.has_entry(nodes[0].name, "k") for n in nodes), "the entry is everywhere")
 
 
-def test_a_silent_link_is_redialled_and_catches_up(make_node, make_relay, wait_for):
+def test_silent_link_is_redialled_and_catches_up(make_node, make_relay, wait_for):
     """
-    A middlebox forgets the connection from a to b. Both ends stay connected
-    and every send of a succeeds, but b hears nothing more. a must notice that
-    its heartbeats are no longer acknowledged, dial anew and tell what was lost.
+    A middlebox drops the state of the connection from a to b. Both ends stay
+    connected and every send of a succeeds, but b receives nothing more. Instance
+    a must notice that its heartbeats are no longer acknowledged, redial, and send
+    what was lost.
     """
     relay = make_relay()
     a, b = make_node("a"), make_node("b", relay=relay)
     a.run()
     b.run()
-    wait_for(lambda: b.sees("a") and a.sees("b"), "both hear each other")
+    wait_for(lambda: b.sees("a") and a.sees("b"), "both see each other")
 
     relay.silence()
     a.control.gossip.publish("test", "lost", 1)
@@ -117,33 +119,34 @@
     assert a.control.traffic.redials >= 1
 
 
-def test_a_cut_of_one_direction_ends_without_a_restart(make_node, make_relay, wait_for):
+def test_link_cut_in_one_direction_recovers_without_a_restart(make_node, make_relay, wait_for):
     """
-    Frames from a to b vanish while those from b to a arrive. a hears b, so
-    only the missing acknowledgements tell it; when the cut ends b hears a again.
+    Frames from a to b are lost while those from b to a arrive. Instance a
+    receives from b, so it notices only by the missing acknowledgements. When the
+    cut ends, b receives from a again.
     """
     relay = make_relay()
     a, b = make_node("a"), make_node("b", relay=relay)
     a.run()
     b.run()
-    wait_for(lambda: b.sees("a") and a.sees("b"), "both hear each other")
+    wait_for(lambda: b.sees("a") and a.sees("b"), "both see each other")
 
     relay.cut()
     wait_for(lambda: not b.sees("a") and a.sees("b"), "one direction is cut")
     relay.heal()
 
-    wait_for(lambda: b.sees("a") and a.sees("b"), "both hear each other again")
+    wait_for(lambda: b.sees("a") and a.sees("b"), "both see each other again")
 
 
-def test_a_restart_on_another_port_during_an_outage_is_linked(make_node, platform, wait_for):
+def test_instance_restarted_on_another_port_in_an_outage_is_linked(make_node, platform, wait_for):
     """
-    The platform is down, so the list keeps the old address for long. The
-    restarted instance calls its seed and tells where it listens now.
+    The platform is down, so the member list keeps the old address. The restarted
+    instance dials its seed and announces where it listens now.
     """
     a, b = make_node("a"), make_node("b")
     a.run()
     b.run()
-    wait_for(lambda: a.sees("b"), "a hears b")
+    wait_for(lambda: a.sees("b"), "a sees b")
     platform.faults.down = True
     b.stop()
     wait_for(lambda: not a.sees("b"), "b is gone")
@@ -152,15 +155,15 @@
     again.run()
     a.control.gossip.publish("test", "later", 1)
 
-    wait_for(lambda: a.sees("b") and again.sees("a"), "both hear each other")
+    wait_for(lambda: a.sees("b") and again.sees("a"), "both see each other")
     wait_for(lambda: again.has_entry("a", "later"), "entries reach it")
 
 
-def test_a_link_that_its_peer_gave_up_ends_here_too(make_node, wait_for):
+def test_link_that_its_peer_no_longer_chooses_ends_here_too(make_node, wait_for):
     """
-    While a fleet starts, lists differ and peers choose links that they soon
-    drop. Kept at the other end, such a link is never acknowledged, and it would
-    be redialled until it lapses.
+    While a fleet starts, member lists differ and peers choose links that they
+    soon drop. If the other end kept such a link, it would never be acknowledged
+    and would be redialled until it expires.
     """
     make_node("b")
     a = make_node("a")
@@ -177,31 +180,31 @@
     assert a.control.mesh.linked_peers() == ["b"]
 
 
-def test_frames_of_strangers_are_dropped_and_counted(make_node, names, wait_for):
+def test_invalid_frames_are_rejected_and_counted(make_node, names, wait_for):
     """
-    Something else connects to the peers' port and sends rubbish, a frame under
-    another key, and a frame that is no frame. None changes anything, each is
-    counted, and the instance goes on hearing its peers.
+    Another program connects to the port for peers and sends random bytes, a frame
+    under another key, and an authenticated message that is not a frame. None has
+    an effect, each is counted, and the instance still receives from its peers.
     """
     node = make_node("a")
     key = names.key.encode()
     forged = Frame("b", "a", 1, 0, [(heartbeat_id("c"), 10**6)])
-    bad = [b"", b"x" * 100, encode_frame(forged, b"another key"), encode_frame((1, 2), key)]
-    with pynng.Push0(dial=node.url, send_timeout=5000) as stranger:
-        for data in bad:
-            stranger.send(data)
-        stranger.send(encode_frame(Frame("b", "a", 7, 0), key))
+    invalid = [b"", b"x" * 100, encode_frame(forged, b"another key"), encode_frame((1, 2), key)]
+    with pynng.Push0(dial=node.url, send_timeout=5000) as other_program:
+        for data in invalid:
+            other_program.send(data)
+        other_program.send(encode_frame(Frame("b", "a", 7, 0), key))
 
-        wait_for(lambda: node.sees("b", 60.0), "the good frame is taken")
+        wait_for(lambda: node.sees("b", 60.0), "the valid frame is accepted")
 
-    assert node.control.traffic.frames_rejected == len(bad)
+    assert node.control.traffic.frames_rejected == len(invalid)
     assert not node.sees("c", 60.0)
 
 
-def test_an_entry_of_another_shape_is_dropped_alone(make_node, wait_for):
+def test_entry_of_another_shape_is_dropped_alone(make_node, wait_for):
     """
-    A peer of another release sends an entry that subscribers cannot read. The
-    thread that hears all peers must live on, else the instance would go deaf.
+    A peer of another release sends an entry that subscribers cannot read. It must
+    not end the thread that receives from all peers.
     """
     a, b = make_node("a"), make_node("b")
     a.run()
@@ -214,26 +217,26 @@
     wait_for(lambda: b.has_entry("a", "after"), "later entries arrive")
 
 
-def test_a_replayed_heartbeat_does_not_revive_a_dead_peer():
+def test_replayed_heartbeat_does_not_make_a_dead_peer_live():
     """
-    Somebody records frames of an instance and sends them again after it died.
-    Its peers would go on waiting for it in place of taking over.
+    Recorded frames of an instance are sent again after it ended. If they counted,
+    its peers would wait for it instead of taking its leases.
     """
     heartbeats = PeerHeartbeats()
     assert heartbeats.receive("b", 5, same_domain=True)
 
     assert not heartbeats.receive("b", 4, same_domain=True)
     heartbeats.relay([(heartbeat_id("b"), 5)])
-    heard = heartbeats._latest_by_id[heartbeat_id("b")]
+    latest = heartbeats._latest_by_id[heartbeat_id("b")]
     heartbeats.receive("b", 5, same_domain=True)
 
-    assert heartbeats._latest_by_id[heartbeat_id("b")] == heard
+    assert heartbeats._latest_by_id[heartbeat_id("b")] == latest
 
 
-def test_heartbeats_rise_above_those_of_a_former_life_with_a_clock_ahead():
+def test_heartbeats_rise_above_those_of_a_former_start_with_a_clock_ahead():
     """
     An instance restarts with its clock set back. Peers take its heartbeats for old
-    ones and would hold it for dead until the clock catches up.
+    ones and would consider it dead until the clock catches up.
     """
     clock = HeartbeatClock()
     former = clock.now() + 36_000
@@ -243,10 +246,10 @@
     assert clock.now() > former
 
 
-def test_entries_rise_above_those_of_a_former_life_with_a_clock_ahead():
+def test_entries_rise_above_those_of_a_former_start_with_a_clock_ahead():
     """
-    As above, for entries: what it publishes would be refused as older than
-    what its former life told, and the old word would stand.
+    An instance restarts with its clock set back. What it publishes would be
+    refused as older than its entries of the former start, which would remain.
     """
     gossip = GossipState("a")
     gossip.publish("test", "k", "new")
@@ -262,8 +265,8 @@
 @pytest.mark.parametrize("listed", [True, False])
 def test_entries_of_origins_that_left_are_dropped_for_good(listed):
     """
-    An instance left. Its entries must not stay in memory for ever, and a peer
-    that drops them later must not bring them back.
+    An instance left the deployment. Its entries must not stay in memory without
+    limit, and a peer that drops them later must not restore them.
     """
     gossip = GossipState("a")
     entry = Entry("gone", "test", "k", 5, 1, b"\x01")
--- a/packages/redwingscale-daemon/tests/unit/control/test_request_path.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_request_path.py
@@ -1,4 +1,4 @@
-"""The way of a request knows no client of the platform, claims apart."""
+"""The modules on the path of a request import no client of the platform."""
 
 import ast
 from pathlib import Path
@@ -17,10 +17,11 @@
 
 
 @pytest.mark.parametrize("folder", FOLDERS)
-def test_no_part_of_the_request_path_can_call_the_platform(folder):
+def test_request_path_cannot_call_the_platform(folder):
     """
-    The platform is slow for long. One call to it on a request's way would hold
-    every caller up for its time-out, though nothing of it is needed.
+    The platform can be slow for a long time. One call to it on the path of a
+    request would delay every caller until its timeout, though requests need
+    nothing from the platform. Claims, which do, are in other folders.
     """
     paths = sorted((ROOT / folder).glob("*.py"))
 
