--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/mesh.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/mesh.py
@@ -28,6 +28,7 @@
 from redwingscale_daemon._internal.membership.neighbourhood import build_neighbourhood
 from redwingscale_daemon._internal.models.member import InstanceMember, Member
 
+# A peer that is silent for as many heartbeat intervals is considered dead.
 DEAD_AFTER_HEARTBEATS = 10
 MAX_LINKS_BACK = 16
 LINK_BACK_CYCLES = 3
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/peer_heartbeats.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/peer_heartbeats.py
@@ -71,7 +71,7 @@
             return [(key, self._latest_by_id[key].heartbeat) for key in self._relayed_ids]
 
     def silent_seconds(self, peer: str) -> float:
-        """Return how long ``peer`` has been silent; infinite if it was never received.
+        """Return the seconds since the newest heartbeat of ``peer`` arrived; infinite without one.
 
         This covers every instance of the own failure domain, linked or not.
         """
