--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
@@ -176,7 +176,7 @@
             Refusal(
                 429,
                 "overloaded",
-                "too many requests are waiting, and this caller exceeds its share the most",
+                "more requests wait than fit, and this caller is the furthest above its share",
                 retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, self._expected_wait_seconds(last)),
             )
         )
@@ -192,7 +192,7 @@
             Refusal(
                 503,
                 "deadline_unreachable",
-                f"the response could take {wait_needed + expected:.2f} s, {late:.2f} s too long",
+                f"it could take {wait_needed + expected:.2f} s, {late:.2f} s too long",
                 retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, min(late, wait_needed)),
             )
         )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/current.py
@@ -63,7 +63,7 @@
         if self._platform_read:
             return "no configuration"
         count = self._quorum.count()
-        return f"no configuration: {count.live} of the {count.needed} peers needed are live with a version"
+        return f"no configuration: heard {count.live} of the {count.needed} peers needed"
 
     def on_change(self, listener: Listener) -> None:
         """Call ``listener`` with each version that comes into force."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/store.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/configuration/store.py
@@ -101,7 +101,7 @@
                 return self._platform.objects.put(f"configuration/{digest}", text.encode())
             except WriteUnknown as error:
                 failure = error
-        raise PlatformUnavailable(f"the configuration text could not be stored: {failure}")
+        raise PlatformUnavailable(f"the text could not be stored: {failure}")
 
     def _commit(self, pointer: Pointer, row: Row | None) -> Applied | ApplyConflict:
         value = pointer._asdict()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
@@ -101,7 +101,7 @@
                 case Failed() | None:
                     raise self._make_unavailable_refusal(key.row)
         raise self._make_refusal(
-            409, "claim_unfinished", "other requests with this key are in flight"
+            409, "claim_unfinished", "other sendings of this key are under way"
         )
 
     def complete(self, claimed: Claimed, answer: Answer) -> None:
@@ -148,7 +148,7 @@
             return parse_claim(row.value)
         except msgspec.ValidationError as error:
             raise self._make_refusal(
-                409, "claim_unfinished", f"the claim cannot be decoded: {error}"
+                409, "claim_unfinished", f"unreadable claim: {error}"
             ) from error
 
     def _note_claimed(self, claimed: Claimed) -> Claimed:
@@ -175,7 +175,7 @@
                 raise self._make_refusal(
                     409,
                     "outcome_unknown",
-                    "an earlier request with this key may have run; its outcome is lost",
+                    "an earlier sending with this key may have run; its outcome is lost",
                     retry_after_seconds=RETRY_AFTER_UNKNOWN_SECONDS,
                 )
             case Open(holder=holder):
@@ -184,7 +184,7 @@
                 raise self._make_refusal(
                     409,
                     "claim_unfinished",
-                    f"an earlier request with this key is open at {holder.instance}",
+                    f"an earlier sending is open at {holder.instance}",
                 )
 
     def _make_unavailable_refusal(self, row: str) -> Refusal:
@@ -192,12 +192,12 @@
             sent_here = row in self._claimed_rows
         if sent_here:
             return self._make_refusal(
-                503, "claims_unavailable", "an earlier request with this key may have run"
+                503, "claims_unavailable", "an earlier sending with this key may have run"
             )
         return self._make_refusal(
             503,
             "claims_unavailable",
-            "the platform's table does not answer; the request was not run",
+            "the platform's table does not answer, this sending was not run",
             run=RunState.NOT_RUN,
             retry_after_seconds=RETRY_AFTER_PLATFORM_SECONDS,
         )
@@ -224,7 +224,5 @@
 
 def _require_same_request(claim: Claim, fingerprint: str) -> Claim:
     if claim.fingerprint != fingerprint:
-        raise Refusal(
-            422, "idempotency_key_reused", "the idempotency key was first used with another request"
-        )
+        raise Refusal(422, "idempotency_key_reused", "the key was first used with another request")
     return claim
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/committer.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/committer.py
@@ -152,7 +152,7 @@
         try:
             return self._table.commit(transaction)
         except msgspec.MsgspecError as error:
-            raise WriteUnknown(f"the reply is malformed: {error}") from error
+            raise WriteUnknown(f"a reply that is not well-formed: {error}") from error
 
     def _settle(self, batch: list[RowWrite], outcome: Committed | Conflict) -> list[RowWrite]:
         """Settle the writes that ``outcome`` decides; return the others."""
@@ -167,7 +167,7 @@
                         self._end(write, _resolve_conflict(write, found[write.key]))
                 rest = [w for w in batch if w.key not in found]
                 if len(rest) == len(batch):
-                    raise WriteUnknown("the conflict names no row of the transaction")
+                    raise WriteUnknown("a conflict that names none of the rows")
                 return rest
 
     def _fail(self, batch: list[RowWrite], failed: Failed, began_at: float) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/once.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/once.py
@@ -52,7 +52,7 @@
             raise Refusal(
                 504,
                 "deadline_exceeded",
-                "the call is still running; repeat it with the same key to get its outcome",
+                "the call was sent and goes on; a repeat with its key gets the outcome",
                 run=RunState.UNKNOWN,
                 retry_after_seconds=RETRY_AFTER_DEADLINE_SECONDS,
             ) from None
@@ -84,9 +84,7 @@
         claimed = self._claims.open(key, fingerprint, timeout)
         if isinstance(claimed, Claimed) and time.monotonic() >= deadline_at:
             self._claims.release(claimed)
-            raise Refusal(
-                504, "deadline_past", "the deadline passed before the request could be sent"
-            )
+            raise Refusal(504, "deadline_past", "the deadline passed before it could be sent")
         return claimed
 
     def _send(self, claimed: Claimed, send: Send, future: Future[Answer]) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_watch.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/engine_watch.py
@@ -52,7 +52,7 @@
         valid = view.digest is not None and not view.digest.set_aside
         return valid and self._silent_seconds(view, now) <= SILENT_SECONDS
 
-    def _quiet(self, view: EngineView, now: float) -> float:
+    def _silent_seconds(self, view: EngineView, now: float) -> float:
         return now - max(view.received_at, self._listening_since)
 
     def _room(
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/quarantine/quarantine.py
@@ -267,7 +267,7 @@
     return Refusal(
         422,
         "quarantined",
-        "upstreams crashed each time this request ran; it is refused until the quarantine expires",
+        "upstreams died each time that this request ran; it is refused until it expires",
         run=RunState.RUN,
         retry_after_seconds=seconds,
     )
@@ -277,7 +277,7 @@
     return Refusal(
         503,
         "suspect",
-        "the upstream crashed, and the deadline passed before the request could run alone",
+        "its upstream died, and the deadline passed before it could be run by itself",
         run=RunState.UNKNOWN,
         retry_after_seconds=RETRY_AFTER_SECONDS,
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -117,7 +117,7 @@
 
     def _choose_untried_first(self) -> EngineMember | None:
         """Return the best engine; prefer those that have not failed this request."""
-        shunned = self._parts.reachability.shunned()
+        shunned = self._parts.reachability.unreachable()
         engine = self._route(self._failed | shunned)
         return engine or (self._route(shunned) if self._failed else None)
 
@@ -253,7 +253,7 @@
             return error
         if any(r.ready and r.unit == str(self._unit) for r in residents):
             return error
-        return UpstreamCrashed(engine.id, "the engine has restarted", run=RunState.UNKNOWN)
+        return UpstreamCrashed(engine.id, "was started anew", run=RunState.UNKNOWN)
 
     def _handle_failure(self, engine: EngineMember, error: UpstreamError) -> None:
         """Record a failed attempt; raises the final `Refusal` if no retry is allowed."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_client.py
@@ -48,7 +48,7 @@
         if response.status == OK:
             return EngineStream(engine, attempt.attempt_id, response)
         response.close()
-        detail = f"request to start got status {response.status}"
+        detail = f"start answered with status {response.status}"
         if response.status in REFUSED_STATUSES:
             raise UpstreamError(engine.id, detail, run=RunState.NOT_RUN)
         raise UpstreamError(engine.id, detail, run=RunState.UNKNOWN)
@@ -78,7 +78,7 @@
         if response.status == OK:
             return EngineStream(engine, attempt_id, response)
         response.close()
-        detail = f"request to resume got status {response.status}"
+        detail = f"resume answered with status {response.status}"
         if response.status in UNKNOWN_ATTEMPT_STATUSES:
             raise AttemptUnknown(engine.id, detail, run=RunState.UNKNOWN)
         raise StreamBroken(engine.id, detail, run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_stream.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/engine_stream.py
@@ -72,10 +72,10 @@
                     yield event
                     return
                 case None:
-                    raise self._broken("stream contains an event of another attempt")
+                    raise self._broken("an event of another attempt")
                 case _:
-                    raise self._broken(f"got {event}, expected token {expected}")
-        raise self._broken("stream ended without its terminator")
+                    raise self._broken(f"{event} in place of number {expected}")
+        raise self._broken("ended without terminator")
 
     def _broken(self, detail: str) -> StreamBroken:
         return StreamBroken(self._engine.id, detail, run=RunState.UNKNOWN)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_client.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/plain_client.py
@@ -83,17 +83,13 @@
     ) -> None:
         answered = response.headers.get(ATTEMPT_HEADER, call.attempt_id)
         if answered != call.attempt_id:
-            raise UpstreamError(
-                member.id, "response belongs to another attempt", run=RunState.UNKNOWN
-            )
+            raise UpstreamError(member.id, "an answer to another attempt", run=RunState.UNKNOWN)
         if not _shows_truncation(call.method, response):
-            raise UpstreamError(
-                member.id, "response has no length, so it may be truncated", run=RunState.UNKNOWN
-            )
+            raise UpstreamError(member.id, "an answer without its length", run=RunState.UNKNOWN)
         # A service may return a bare 503 after it has acted on the call. One with
         # Retry-After asks for the call to be repeated, so the call was not run.
         if response.status == SERVICE_UNAVAILABLE and RETRY_AFTER in response.headers:
-            raise UpstreamError(member.id, "refused with 503 and Retry-After", run=RunState.NOT_RUN)
+            raise UpstreamError(member.id, "refused, not run", run=RunState.NOT_RUN)
 
 
 def _shows_truncation(method: str, response: urllib3.BaseHTTPResponse) -> bool:
--- a/packages/redwingscale-daemon/tests/unit/control/test_configuration_spread.py
+++ b/packages/redwingscale-daemon/tests/unit/control/test_configuration_spread.py
@@ -71,7 +71,7 @@
     wait_for(lambda: new_instance.control.current._platform_failing, "the platform was tried")
     reason = new_instance.control.current.not_ready_reason()
 
-    assert reason == "no configuration: 0 of the 1 peers needed are live with a version"
+    assert reason == "no configuration: heard 0 of the 1 peers needed"
     assert new_instance.versions == []
 
 
@@ -105,7 +105,7 @@
     for _ in range(5):
         new_instance.control.current.refresh()
     assert new_instance.versions == []
-    assert "configuration: 1 of the 3" in new_instance.control.current.not_ready_reason()
+    assert "heard 1 of the 3" in new_instance.control.current.not_ready_reason()
 
     platform.faults.down = False
     apply(2)
