--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/capacity.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/capacity.py
@@ -1,4 +1,4 @@
-"""How many more requests the engines of a unit can take."""
+"""Estimates how many more requests the engines of a unit can run."""
 
 import itertools
 from collections import deque
@@ -10,12 +10,16 @@
 from redwingscale_daemon._internal.upstreams.directory import Directory, EngineView
 from redwingscale_daemon._internal.upstreams.in_flight import InFlight
 
-MOST_SAMPLES = 64
+MAX_SAMPLES = 64
 SAMPLES_IN_LAG = 20
 
 
 class Room(NamedTuple):
-    """``free``: requests that fit now; ``slots``: what runs here at once when it is full."""
+    """Room for requests of this instance.
+
+    ``free`` is the number that can start now, ``slots`` the number that run at once when
+    the engines are full.
+    """
 
     free: float
     slots: float
@@ -27,12 +31,11 @@
 
 
 class Capacity:
-    """Room by unit, from lagging reports and what this instance itself has running.
+    """Estimates room by unit from delayed reports and this instance's own requests.
 
-    A report tells the load as it was some time ago; since then this instance's
-    own part has changed by a known amount, so that is added. Whatever the
-    reports say, each instance may use its even part of an engine's slots: a
-    stale report of a full engine must not keep all instances away from it.
+    A report shows the load of some time ago; the change in own requests since then is
+    added. Whatever the reports say, each instance may use its equal share of an engine's
+    slots: a stale report of a full engine must not keep all instances away from it.
     """
 
     def __init__(
@@ -53,41 +56,41 @@
         self._samples_by_engine: dict[str, deque[_Sample]] = {}
 
     def room(self, unit: str) -> Room | None:
-        """Return the room for ``unit``; None while nothing is known that could limit it."""
+        """Return the room for ``unit``; None if unknown: no engines, or one without a digest."""
         candidates = [v for v in self._directory.engines_with(unit) if not v.leaving]
         near = [v for v in candidates if self._is_near(v)]
         engines = near or candidates
         if not engines or any(v.digest is None for v in engines):
             return None
-        parts = self._instances(near_only=bool(near))
-        rooms = [self._engine_room(view, parts) for view in engines]
+        instances = self._count_instances(near_only=bool(near))
+        rooms = [self._engine_room(view, instances) for view in engines]
         return Room(sum(r.free for r in rooms), sum(r.slots for r in rooms))
 
-    def _engine_room(self, view: EngineView, parts: int) -> Room:
+    def _engine_room(self, view: EngineView, instances: int) -> Room:
         digest = view.digest
         assert digest is not None
         here = self._in_flight.count(view.member.id)
         reported = digest.running + digest.waiting
         load = max(here, reported + here - self._in_flight_at(view, here))
-        even_part = digest.slots / parts
-        # All instances see the same report: if each took all that is free in it,
-        # they would overrun the engine together.
-        part_of_free = (digest.slots - load) / parts
-        return Room(max(0.0, part_of_free, even_part - here), max(even_part, here))
+        equal_share = digest.slots / instances
+        # All instances see the same report: if each used all free slots in it, together
+        # they would overload the engine.
+        share_of_free = (digest.slots - load) / instances
+        return Room(max(0.0, share_of_free, equal_share - here), max(equal_share, here))
 
     def _in_flight_at(self, view: EngineView, here: int) -> int:
-        """Return how many ran here when the newest report of the engine was true."""
-        samples = self._samples_by_engine.setdefault(view.member.id, deque(maxlen=MOST_SAMPLES))
+        """Return the requests of this instance in flight when the newest report was made."""
+        samples = self._samples_by_engine.setdefault(view.member.id, deque(maxlen=MAX_SAMPLES))
         now = self._clock()
         if not samples or now - samples[-1].taken_at >= self._lag_seconds / SAMPLES_IN_LAG:
             samples.append(_Sample(now, here))
-        true_at = view.seen_at - self._lag_seconds
-        older = list(itertools.takewhile(lambda s: s.taken_at <= true_at, samples))
-        while len(samples) > 1 and samples[1].taken_at <= true_at:
+        sampled_at = view.received_at - self._lag_seconds
+        older = list(itertools.takewhile(lambda s: s.taken_at <= sampled_at, samples))
+        while len(samples) > 1 and samples[1].taken_at <= sampled_at:
             samples.popleft()
         return older[-1].in_flight if older else samples[0].in_flight
 
-    def _instances(self, *, near_only: bool) -> int:
+    def _count_instances(self, *, near_only: bool) -> int:
         domain = self._instance.failure_domain
         live = [m for m in self._members.instances() if not m.leaving]
         return max(1, sum(not near_only or m.failure_domain == domain for m in live))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/admission/gate.py
@@ -1,4 +1,4 @@
-"""Admits requests in fair order, or refuses those that cannot be in time."""
+"""Admits requests in fair order and refuses those that cannot meet their deadline."""
 
 import threading
 import time
@@ -10,46 +10,46 @@
 from redwingscale_daemon._internal.admission.arrival import Arrival
 from redwingscale_daemon._internal.admission.capacity import Room
 from redwingscale_daemon._internal.admission.fair_queue import FairQueue, Place
-from redwingscale_daemon._internal.admission.service_rates import Served, ServiceRates
+from redwingscale_daemon._internal.admission.service_rates import Completion, ServiceRates
 from redwingscale_daemon._internal.admission.ticket import Ticket
 from redwingscale_daemon._internal.exceptions import Refusal
 from redwingscale_daemon._internal.models.generation import EndEvent, StreamEvent
 
-LOOK_SECONDS = 0.05
-# An admitted request counts at its engine from its attempt on; until then it is
-# held against the room, for this long at most.
-ON_ITS_WAY_SECONDS = 0.02
-LEAST_RETRY_AFTER_SECONDS = 0.5
-# A newcomer's estimated wait may take this part of the time that it has to spare.
-# With all of it the queue stays as long as can just be in time, and half of those
-# who wait are refused late, after all.
-WAIT_PART = 0.6
-RESERVED_PART = 10
-QUEUE_PART = 5
+RECHECK_SECONDS = 0.05
+# An admitted request counts as in flight only once its attempt starts. Until then, but
+# at most for this time, it is subtracted from the room.
+DISPATCH_SECONDS = 0.02
+MIN_RETRY_AFTER_SECONDS = 0.5
+# Fraction of its spare time that the estimated wait of a new arrival may use. With 1.0 the
+# queue would grow to the longest that can meet its deadlines, and half of the waiting
+# requests would be refused late.
+WAIT_FRACTION = 0.6
+RESERVED_DIVISOR = 10
+QUEUE_DIVISOR = 5
 
 
 class GateLimits(NamedTuple):
-    """How many requests may run and wait at once in this instance."""
+    """How many requests may run and wait at the same time in this instance."""
 
     running: int
     waiting: int
 
 
 def gate_limits(threads: int) -> GateLimits:
-    """Split the request threads; what is left over answers refusals and probes."""
-    waiting = max(1, threads // QUEUE_PART)
-    reserved = max(2, threads // RESERVED_PART)
+    """Split the request threads; the remaining ones serve refusals and probes."""
+    waiting = max(1, threads // QUEUE_DIVISOR)
+    reserved = max(2, threads // RESERVED_DIVISOR)
     return GateLimits(max(1, threads - waiting - reserved), waiting)
 
 
 class RoomSource(Protocol):
-    """Where the gate learns how much the engines can take."""
+    """Returns how many more requests the engines can run; implemented by `Capacity`."""
 
     def room(self, unit: str) -> Room | None: ...
 
 
 class Gate:
-    """One lock; callers' threads wait on their own tickets."""
+    """Admits, queues or refuses requests under one lock; each thread waits on its own ticket."""
 
     def __init__(
         self,
@@ -64,16 +64,16 @@
         self._queue = FairQueue()
         self._rates = ServiceRates()
         self._running: Counter[str] = Counter()
-        self._on_their_way: list[Ticket] = []
+        self._dispatching: list[Ticket] = []
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """The number of waiting requests."""
         return len(self._queue)
 
     @contextmanager
-    def hold(self, arrival: Arrival) -> Iterator[Ticket]:
-        """Run the block as an admitted request; raise `Refusal`."""
+    def admitted(self, arrival: Arrival) -> Iterator[Ticket]:
+        """Run the block as an admitted request; raise `Refusal` if it is not admitted."""
         ticket = self.enter(arrival)
         try:
             yield ticket
@@ -81,17 +81,17 @@
             self.leave(ticket)
 
     def enter(self, arrival: Arrival) -> Ticket:
-        """Block until the request may run; raise `Refusal` as soon as it cannot be in time."""
+        """Block until the request may run; raise `Refusal` once it cannot meet its deadline."""
         ticket = self.offer(arrival)
-        while not ticket.is_decided(LOOK_SECONDS):
-            # Room also appears without anybody leaving here: by a newer report.
-            self.look()
+        while not ticket.is_decided(RECHECK_SECONDS):
+            # A newer report may show room without a request ending in this instance.
+            self.recheck()
         if ticket.refusal is not None:
             raise ticket.refusal
         return ticket
 
-    def watch(self, ticket: Ticket, events: Iterator[StreamEvent]) -> Iterator[StreamEvent]:
-        """Yield ``events`` and end the request with them; the first has arrived already."""
+    def leave_after(self, ticket: Ticket, events: Iterator[StreamEvent]) -> Iterator[StreamEvent]:
+        """Yield ``events``, then call `leave`; the first event must have arrived already."""
         first_at = self._clock()
         try:
             for event in events:
@@ -99,41 +99,41 @@
                     self._record(ticket, event.total, first_at)
                 yield event
         finally:
-            # Closing is how the relay hears that the caller has gone.
+            # Closing the generator signals to the relay that the caller disconnected.
             if isinstance(events, Generator):
                 events.close()
             self.leave(ticket)
 
     def offer(self, arrival: Arrival) -> Ticket:
-        """Return a ticket that is admitted, refused or waits for `look` and `leave`."""
+        """Return a ticket that is admitted, refused, or waits for `recheck` or `leave`."""
         ticket = Ticket(arrival)
         with self._lock:
-            # Room may have appeared unseen: those who wait go before the newcomer.
+            # If room has appeared since the last check, waiting requests precede the new one.
             self._admit_waiting()
             self._decide(ticket)
         return ticket
 
     def leave(self, ticket: Ticket) -> None:
-        """End an admitted request and admit who comes next."""
+        """End an admitted request and admit waiting ones."""
         with self._lock:
             self._running[ticket.arrival.unit] -= 1
             self._admit_waiting()
 
-    def look(self) -> None:
-        """Admit who has got room, and refuse who can no longer be in time."""
+    def recheck(self) -> None:
+        """Admit requests that have room, refuse those that can no longer meet their deadline."""
         with self._lock:
             self._admit_waiting()
 
     def _record(self, ticket: Ticket, tokens: int, first_at: float) -> None:
         assert ticket.admitted_at is not None
-        served = Served(
+        completion = Completion(
             max_tokens=ticket.arrival.max_tokens,
             tokens=tokens,
-            first_token=first_at - ticket.admitted_at,
-            total=self._clock() - ticket.admitted_at,
+            first_token_seconds=first_at - ticket.admitted_at,
+            total_seconds=self._clock() - ticket.admitted_at,
         )
         with self._lock:
-            self._rates.record(ticket.arrival.unit, served)
+            self._rates.record(ticket.arrival.unit, completion)
 
     def _decide(self, ticket: Ticket) -> None:
         place = self._queue.place(ticket)
@@ -142,7 +142,7 @@
             if ticket.refusal is None:
                 self._admit(place)
             return
-        self._refuse_if_late(ticket, self._wait_seconds(place))
+        self._refuse_if_late(ticket, self._expected_wait_seconds(place))
         if ticket.refusal is None:
             self._queue.add(place)
             self._shed()
@@ -151,7 +151,7 @@
         now = self._clock()
         self._queue.admit(place)
         self._running[place.ticket.arrival.unit] += 1
-        self._on_their_way.append(place.ticket)
+        self._dispatching.append(place.ticket)
         place.ticket.admit(now)
 
     def _admit_waiting(self) -> None:
@@ -167,7 +167,7 @@
                 full_units.add(unit)
 
     def _shed(self) -> None:
-        """Refuse the last in fair order: the flow that is furthest above its part."""
+        """Refuse the last in fair order if too many wait: its flow most exceeds its share."""
         if len(self._queue) <= self._limits.waiting:
             return
         last = self._queue.last()
@@ -177,14 +177,14 @@
                 429,
                 "overloaded",
                 "more requests wait than fit, and this caller is the furthest above its share",
-                retry_after_seconds=max(LEAST_RETRY_AFTER_SECONDS, self._wait_seconds(last)),
+                retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, self._expected_wait_seconds(last)),
             )
         )
 
     def _refuse_if_late(self, ticket: Ticket, wait_seconds: float) -> None:
         arrival = ticket.arrival
         expected = self._rates.expected_seconds(arrival.unit, arrival.max_tokens)
-        wait_needed = wait_seconds / WAIT_PART
+        wait_needed = wait_seconds / WAIT_FRACTION
         late = self._clock() + wait_needed + expected - arrival.deadline_at
         if late <= 0:
             return
@@ -193,7 +193,7 @@
                 503,
                 "deadline_unreachable",
                 f"it could take {wait_needed + expected:.2f} s, {late:.2f} s too long",
-                retry_after_seconds=max(LEAST_RETRY_AFTER_SECONDS, min(late, wait_needed)),
+                retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, min(late, wait_needed)),
             )
         )
 
@@ -201,17 +201,17 @@
         if self._running.total() >= self._limits.running:
             return False
         room = self._capacity.room(arrival.unit) if arrival.unit else None
-        return room is None or room.free - self._count_on_their_way(arrival.unit) >= 1
+        return room is None or room.free - self._count_dispatching(arrival.unit) >= 1
 
-    def _count_on_their_way(self, unit: str) -> int:
-        horizon = self._clock() - ON_ITS_WAY_SECONDS
-        self._on_their_way = [
-            t for t in self._on_their_way if t.admitted_at is not None and t.admitted_at > horizon
+    def _count_dispatching(self, unit: str) -> int:
+        horizon = self._clock() - DISPATCH_SECONDS
+        self._dispatching = [
+            t for t in self._dispatching if t.admitted_at is not None and t.admitted_at > horizon
         ]
-        return sum(t.arrival.unit == unit for t in self._on_their_way)
+        return sum(t.arrival.unit == unit for t in self._dispatching)
 
-    def _wait_seconds(self, place: Place) -> float:
-        """Return how long the ticket of ``place`` would wait for its turn."""
+    def _expected_wait_seconds(self, place: Place) -> float:
+        """Return how long the ticket of ``place`` is expected to wait."""
         arrival = place.ticket.arrival
         expected = self._rates.expected_seconds(arrival.unit, arrival.max_tokens)
         ahead = sum(p < place and p.ticket.arrival.unit == arrival.unit for p in self._queue)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/engines.py
@@ -1,4 +1,4 @@
-"""Wires what concerns engines: directory, ownership, placement, routing."""
+"""Wires the parts for engines: directory, ownership, placement and routing."""
 
 import random
 import time
@@ -23,7 +23,7 @@
 from redwingscale_daemon._internal.routing.cache_feed import CacheFeed
 from redwingscale_daemon._internal.routing.cache_poller import CachePoller
 from redwingscale_daemon._internal.routing.prefix_index import PrefixIndex
-from redwingscale_daemon._internal.routing.router import Demand, Router
+from redwingscale_daemon._internal.routing.router import ModelHooks, Router
 from redwingscale_daemon._internal.settings.settings import Settings
 from redwingscale_daemon._internal.store.store import Platform
 from redwingscale_daemon._internal.telemetry.metrics import Metrics
@@ -32,11 +32,11 @@
 from redwingscale_daemon._internal.upstreams.in_flight import InFlight
 from redwingscale_daemon._internal.utils.periodic import Periodic
 
-MOVES_SECONDS = 2.0
+MOVES_FLUSH_SECONDS = 2.0
 
 
 class Engines(NamedTuple):
-    """The parts, not started; ``tasks`` are the threads that drive them."""
+    """The parts, not started; ``tasks`` are the threads that run their steps."""
 
     directory: Directory
     in_flight: InFlight
@@ -50,15 +50,15 @@
 
 
 def build_engines(
-    settings: Settings, platform: Platform, shared: Control, metrics: Metrics
+    settings: Settings, platform: Platform, control: Control, metrics: Metrics
 ) -> Engines:
-    """Return the parts that ``settings`` describe."""
+    """Return the parts for ``settings``."""
     me, timing = settings.instance, settings.timing
     gossip, heartbeats, members, current = (
-        shared.gossip,
-        shared.heartbeats,
-        shared.members,
-        shared.current,
+        control.gossip,
+        control.heartbeats,
+        control.members,
+        control.current,
     )
     directory = Directory(gossip)
     members.on_change(directory.update_members)
@@ -80,7 +80,7 @@
         in_flight,
         random.Random(),
         index=index,
-        demand=Demand(lambda model: _listed_versions(current, model), demand.arrived),
+        hooks=ModelHooks(lambda model: _listed_versions(current, model), demand.arrived),
     )
     cache_poller = CachePoller(
         members, lambda e: ownership.grant_of(e) is not None, engine_control, CacheFeed(index)
@@ -115,7 +115,7 @@
             Periodic("session", timing.lease_renewal, session.renew),
             Periodic("owners", timing.heartbeat, owners.step),
             Periodic("drains", STEP_SECONDS, drain_reporter.step),
-            Periodic("moves", MOVES_SECONDS, moves.flush),
+            Periodic("moves", MOVES_FLUSH_SECONDS, moves.flush),
             Periodic("planner", timing.planning, planner.step),
             Periodic("cache", timing.planning, cache_poller.step),
             Periodic("demand", timing.planning, lambda: demand.step(time.monotonic())),
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/ingress.py
@@ -38,22 +38,24 @@
 from redwingscale_daemon._internal.utils.periodic import Periodic
 from redwingscale_daemon._internal.workspaces.use_limiter import UseLimiter
 
-# Heads and bodies beyond what any configuration allows.
-LARGEST_HEAD_BYTES = 32 << 10
-LARGEST_BODY_BYTES = 8 << 20
-# Callers reuse a connection that was idle for up to twelve seconds.
+# Larger than any configuration allows.
+MAX_HEAD_BYTES = 32 << 10
+MAX_BODY_BYTES = 8 << 20
+# Callers reuse connections that were idle for up to 12 s.
 IDLE_SECONDS = 20
-# Each round asks each upstream once, while nobody tells what they hold.
+# Interval of the rounds in which each upstream gets one request for its report, while neither
+# the leader nor the list gives current residency.
 OWN_REPORTS_SECONDS = 0.4
 PROBE_THREADS = 2
-# Of the threads of the callers' port, those that only refuse: each takes milliseconds.
-REFUSING_PART = 0.1
-LEAST_REFUSING_THREADS = 2
+# Fraction of the threads of the callers' port that only refuse requests, which takes each
+# of them milliseconds.
+REFUSING_FRACTION = 0.1
+MIN_REFUSING_THREADS = 2
 PROBE_HEAD_BYTES = 8 << 10
 
 
 def build_ingress(settings: IngressSettings, reload: Callable[[], None]) -> IngressInstance:
-    """Return the instance that ``settings`` describe; nothing is started yet."""
+    """Return the instance for ``settings``; nothing is started yet."""
     store = StoreClient(settings.store.host, settings.store.port)
     routes = CurrentRoutes()
     fleet = new_fleet(settings.instance, lambda: swaps.instances())
@@ -216,10 +218,10 @@
 def _callers(settings: IngressSettings, handler: RequestHandler) -> IngressServer:
     limits = PortLimits(
         settings.request_threads,
-        LARGEST_HEAD_BYTES,
-        LARGEST_BODY_BYTES,
+        MAX_HEAD_BYTES,
+        MAX_BODY_BYTES,
         IDLE_SECONDS,
-        max(LEAST_REFUSING_THREADS, round(settings.request_threads * REFUSING_PART)),
+        max(MIN_REFUSING_THREADS, round(settings.request_threads * REFUSING_FRACTION)),
         "callers",
     )
     return IngressServer(handler.handle, *settings.callers, limits, handler.screen)
@@ -233,7 +235,7 @@
     metrics: IngressMetrics,
     own_reports: OwnReports,
 ) -> tuple[IngressServer, ...]:
-    def not_ready() -> str:
+    def not_ready_reason() -> str:
         if own_reports.domain_cut:
             return "the failure domain is cut off"
         if open_requests.draining:
@@ -245,7 +247,7 @@
     probes = PortLimits(
         PROBE_THREADS, PROBE_HEAD_BYTES, PROBE_HEAD_BYTES, IDLE_SECONDS, name="probes"
     )
-    readiness = ReadinessApp(names.READINESS_PATH, not_ready)
+    readiness = ReadinessApp(names.READINESS_PATH, not_ready_reason)
     log_event(
         "listening",
         callers=f"{settings.callers.host}:{settings.callers.port}",
@@ -255,6 +257,6 @@
     return (
         IngressServer(readiness.handle, *settings.readiness, probes),
         IngressServer(
-            MetricsApp(metrics.page).handle, settings.host, settings.metrics_port, probes
+            MetricsApp(metrics.prometheus_page).handle, settings.host, settings.metrics_port, probes
         ),
     )
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/composition/peers.py
@@ -1,4 +1,4 @@
-"""Wires what instances ask each other."""
+"""Wires the requests that instances send to each other."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,21 +13,23 @@
 from redwingscale_daemon._internal.swaps.peer_client import PeerClient
 from redwingscale_daemon._internal.swaps.peer_server import LeaseState, PeerServer
 from redwingscale_daemon._internal.swaps.rate_limit_gossip import RateLimitGossip
-from redwingscale_daemon._internal.utils.lasting import Lasting
 from redwingscale_daemon._internal.utils.periodic import Periodic
+from redwingscale_daemon._internal.utils.sustained_condition import SustainedCondition
 
-# The first two of an instance's ports for others are those of the order giver's news.
+# Offset from the first peer port. The first two ports carry the updates between the leader
+# and the instances.
 PEER_SERVER_PORT = 2
-# An instance that the store turns away asks its peers this often.
-QUESTION_SECONDS = 0.4
-# A version that was told is read from the store first.
-BEHIND_SECONDS = 0.3
-# An order giver that has been silent for longer may not tell in time of a rate limit.
+# How often an instance that cannot read the store queries its peers.
+PEER_QUERY_SECONDS = 0.4
+# An announced version is read from the store first; peers are queried after this time.
+BEHIND_BEFORE_QUERY_SECONDS = 0.3
+# If the leader has been silent for longer, it may not announce a rate limit in time, and
+# instances send rate limits to each other.
 LEADER_SILENT_SECONDS = 0.5
 
 
 class Peers(NamedTuple):
-    """``fetch_announced`` brings a configuration that the order giver has told."""
+    """The parts; ``fetch_announced`` fetches a configuration that the leader announced."""
 
     server: PeerServer
     client: PeerClient
@@ -53,14 +55,14 @@
         lambda: LeaseState(lease.row_version, lease.record),
         fleet.rates.receive_from_peer,
     )
-    behind = Lasting(BEHIND_SECONDS)
+    behind = SustainedCondition(BEHIND_BEFORE_QUERY_SECONDS)
 
-    def untold() -> bool:
-        """Whether a newer configuration or order giver may be there that this one misses."""
+    def may_be_outdated() -> bool:
+        """Return whether there may be a configuration or a leader unknown to this instance."""
         table = routes.get()
         if route_versions.current:
-            known = table.version if table else 0
-            return behind.lasts(route_versions.version > known)
+            current_version = table.version if table else 0
+            return behind.update(route_versions.version > current_version)
         return reads.configuration.lost or reads.configuration.age > settings.bounds.configuration
 
     def fetch_announced() -> bool:
@@ -69,12 +71,14 @@
             return False
         return peer_client.fetch(f"{record.host}:{record.desk_port}", route_versions.version)
 
-    peer_client = PeerClient(routes, untold, lease.adopt_record, lambda: peer_server.address)
-    asking = Periodic("peer-questions", QUESTION_SECONDS, peer_client.step)
+    peer_client = PeerClient(
+        routes, may_be_outdated, lease.adopt_record, lambda: peer_server.address
+    )
+    queries = Periodic("peer-questions", PEER_QUERY_SECONDS, peer_client.step)
     gossip = RateLimitGossip(
         fleet.rates,
         peer_client.addresses,
         lambda: not lease.is_leader and fleet.residency.age > LEADER_SILENT_SECONDS,
         peer_client.push,
     )
-    return Peers(peer_server, peer_client, (peer_server, asking, gossip), fetch_announced)
+    return Peers(peer_server, peer_client, (peer_server, queries, gossip), fetch_announced)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/forwarding/request_handler.py
@@ -76,7 +76,7 @@
 
     def handle(self, request: IngressRequest, reply: Reply) -> None:
         """Serve ``request``; raises `CallerLeft` if the caller has disconnected."""
-        with self._open_requests.counted():
+        with self._open_requests.track():
             if self._open_requests.draining or self._leaves_rotation():
                 # A persistent connection could carry the next request just as the port closes.
                 reply.close_after()
@@ -121,7 +121,7 @@
         except CallerLeft:
             if call is not None and not call.attempts.count:
                 call.permit.refund()
-            self._metrics.ended(request, "caller_left")
+            self._metrics.record_request(request, "caller_left")
             log_event("caller_left", request=terms.request_id, route=_route_name(call))
             raise
         else:
@@ -207,7 +207,7 @@
         status: int = 0,
     ) -> None:
         attempts = call.attempts if call else None
-        seconds = self._metrics.ended(request, refusal.code if refusal else "answered")
+        seconds = self._metrics.record_request(request, refusal.code if refusal else "answered")
         log_event(
             "request_ended",
             request=terms.request_id,
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/claims.py
@@ -1,4 +1,7 @@
-"""Claims on idempotency keys: made before a request is sent, ended with its outcome."""
+"""Claims idempotency keys before requests are sent, and records how the requests ended.
+
+A repeat is a later request of the caller with the same idempotency key.
+"""
 
 import threading
 import time
@@ -22,22 +25,27 @@
 from redwingscale_daemon._internal.idempotency.committer import Committer
 from redwingscale_daemon._internal.idempotency.outcome import Answer, OutcomeStore
 from redwingscale_daemon._internal.idempotency.retention import Retention
-from redwingscale_daemon._internal.idempotency.row_write import Beaten, Failed, RowWrite, Written
+from redwingscale_daemon._internal.idempotency.row_write import (
+    Failed,
+    RowWrite,
+    WriteConflict,
+    Written,
+)
 from redwingscale_daemon._internal.idempotency.settler import Ending, Settler
 from redwingscale_daemon._internal.models.run_state import RunState
 from redwingscale_daemon._internal.store.row import ABSENT, Row
 from redwingscale_daemon._internal.telemetry.metrics import Metrics
 
-TAKING_TRIES = 4
-ENDING_PATIENCE_SECONDS = 0.25
+MAX_CLAIM_TRIES = 4
+END_TIMEOUT_SECONDS = 0.25
 RETRY_AFTER_PLATFORM_SECONDS = 1.0
 RETRY_AFTER_UNFINISHED_SECONDS = 1.0
 RETRY_AFTER_UNKNOWN_SECONDS = 30.0
-MOST_REMEMBERED = 4096
+MAX_REMEMBERED_ROWS = 4096
 
 
 class Claimed(NamedTuple):
-    """A claim that this instance holds: it alone may send the request, once."""
+    """An open claim of this instance, which alone may send the request, and only once."""
 
     row: str
     version: int
@@ -45,7 +53,7 @@
 
 
 class Claims:
-    """Takes claims and writes how they ended."""
+    """Opens claims, answers repeats and writes how claims ended."""
 
     def __init__(
         self,
@@ -65,69 +73,72 @@
         self._retention_seconds = retention_seconds
         self._metrics = metrics
         self._lock = threading.Lock()
-        self._remembered: OrderedDict[str, None] = OrderedDict()
+        self._claimed_rows: OrderedDict[str, None] = OrderedDict()
         committer.on_orphaned(self._withdraw)
 
-    def open(self, key: ClaimKey, fingerprint: str, patience_seconds: float) -> Claimed | Answer:
-        """Return the claim, or the answer kept for ``key``; raise `Refusal`.
+    def open(self, key: ClaimKey, fingerprint: str, timeout_seconds: float) -> Claimed | Answer:
+        """Return the new claim, or the answer stored for ``key``; raises `Refusal`.
 
-        Nothing of the request may have been sent yet: every refusal for a
-        claim that could not be made says that this sending was not run.
+        Must be called before any part of the request is sent: a refusal because the
+        table does not answer says that the request was not run, unless this instance
+        has claimed the key before.
         """
         version = ABSENT
-        deadline = time.monotonic() + patience_seconds
-        for _ in range(TAKING_TRIES):
+        deadline = time.monotonic() + timeout_seconds
+        for _ in range(MAX_CLAIM_TRIES):
             write = RowWrite(key.row, version, self._open_claim(fingerprint))
             self._committer.submit(write)
             match write.wait(max(0.0, deadline - time.monotonic())):
                 case Written(version=taken):
-                    return self._claimed(Claimed(key.row, taken, fingerprint))
-                case Beaten(row=None):
+                    return self._note_claimed(Claimed(key.row, taken, fingerprint))
+                case WriteConflict(row=None):
                     version = ABSENT
-                case Beaten(row=Row() as row):
-                    claim = _same_request(self._parse(row), fingerprint)
+                case WriteConflict(row=Row() as row):
+                    claim = _require_same_request(self._parse(row), fingerprint)
                     if not isinstance(claim, Released):
-                        return self._repeat(claim)
+                        return self._answer_repeat(claim)
                     version = row.version
                 case Failed() | None:
-                    raise self._unavailable(key.row)
-        raise self._refusal(409, "claim_unfinished", "other sendings of this key are under way")
+                    raise self._make_unavailable_refusal(key.row)
+        raise self._make_refusal(
+            409, "claim_unfinished", "other sendings of this key are under way"
+        )
 
-    def keep(self, claimed: Claimed, answer: Answer) -> None:
-        """Keep ``answer`` for repeats, at once or as soon as the platform takes it."""
-        self._end(Ending(claimed.row, claimed.version, lambda: self._done(claimed, answer)))
+    def complete(self, claimed: Claimed, answer: Answer) -> None:
+        """Store ``answer`` for repeats, now or as soon as the platform accepts the write."""
+        self._end(Ending(claimed.row, claimed.version, lambda: self._done_claim(claimed, answer)))
 
     def mark_unknown(self, claimed: Claimed) -> None:
-        """Write that nobody will learn whether the request was run."""
+        """Record that it cannot be known whether the request was run."""
         claim = Unknown(claimed.fingerprint, self._claimant, self._expires_at())
         self._end(Ending(claimed.row, claimed.version, lambda: claim))
 
     def release(self, claimed: Claimed) -> None:
-        """Give the claim back: the request was not run and a repeat may run it."""
+        """Release the claim: the request was not run, and a repeat may run it."""
         with self._lock:
-            self._remembered.pop(claimed.row, None)
+            self._claimed_rows.pop(claimed.row, None)
         claim = Released(claimed.fingerprint, self._claimant, self._expires_at())
         self._end(Ending(claimed.row, claimed.version, lambda: claim))
 
     def _end(self, ending: Ending) -> None:
-        # The caller's answer does not wait for a platform that is slow or down:
-        # the settler goes on with what could not be written in this time.
+        # The caller's answer must not wait for a platform that is slow or down: the
+        # settler retries what could not be written within the timeout.
         try:
             write = RowWrite(ending.row, ending.version, ending.claim())
         except PlatformError:
             self._settler.add(ending)
             return
         self._committer.submit(write)
-        if not isinstance(write.wait(ENDING_PATIENCE_SECONDS), Written):
+        if not isinstance(write.wait(END_TIMEOUT_SECONDS), Written):
             self._settler.add(ending)
 
-    def _done(self, claimed: Claimed, answer: Answer) -> Done:
-        kept = self._outcomes.put(answer)
-        return Done(claimed.fingerprint, self._claimant, self._expires_at(), kept)
+    def _done_claim(self, claimed: Claimed, answer: Answer) -> Done:
+        stored = self._outcomes.put(answer)
+        return Done(claimed.fingerprint, self._claimant, self._expires_at(), stored)
 
     def _withdraw(self, write: RowWrite) -> None:
-        # Only an open claim that nobody waits for is withdrawn: its request was
-        # refused without being sent, and would else stay unfinished for good.
+        # The request of an open claim that nobody waits for was refused without being
+        # sent. Unless the claim is withdrawn, every repeat is refused as unfinished.
         if isinstance(write.value, Open):
             claim = Released(write.value.fingerprint, self._claimant, self._expires_at())
             self._settler.withdraw(write, claim)
@@ -136,50 +147,54 @@
         try:
             return parse_claim(row.value)
         except msgspec.ValidationError as error:
-            raise self._refusal(409, "claim_unfinished", f"unreadable claim: {error}") from error
+            raise self._make_refusal(
+                409, "claim_unfinished", f"unreadable claim: {error}"
+            ) from error
 
-    def _claimed(self, claimed: Claimed) -> Claimed:
+    def _note_claimed(self, claimed: Claimed) -> Claimed:
         with self._lock:
-            self._remembered[claimed.row] = None
-            if len(self._remembered) > MOST_REMEMBERED:
-                self._remembered.popitem(last=False)
+            self._claimed_rows[claimed.row] = None
+            if len(self._claimed_rows) > MAX_REMEMBERED_ROWS:
+                self._claimed_rows.popitem(last=False)
         self._retention.note(claimed.row, self._expires_at())
         self._metrics.claims.add(1, {"result": "claimed"})
         return claimed
 
-    def _repeat(self, claim: Done | Open | Unknown) -> Answer:
+    def _answer_repeat(self, claim: Done | Open | Unknown) -> Answer:
         match claim:
             case Done(outcome=outcome):
                 try:
                     answer = self._outcomes.get(outcome)
                 except PlatformError as error:
-                    raise self._refusal(
+                    raise self._make_refusal(
                         503, "outcome_unavailable", str(error), run=RunState.RUN
                     ) from error
                 self._metrics.claims.add(1, {"result": "replayed"})
                 return answer
             case Unknown():
-                raise self._refusal(
+                raise self._make_refusal(
                     409,
                     "outcome_unknown",
                     "an earlier sending with this key may have run; its outcome is lost",
                     retry_after_seconds=RETRY_AFTER_UNKNOWN_SECONDS,
                 )
             case Open(holder=holder):
-                # The holder may have died between the claim and the send or after
-                # it. Nobody can tell which, so nobody sends it again.
-                raise self._refusal(
-                    409, "claim_unfinished", f"an earlier sending is open at {holder.instance}"
+                # The claim holder may have crashed before or after it sent the request.
+                # The two cannot be told apart, so the request is not sent again.
+                raise self._make_refusal(
+                    409,
+                    "claim_unfinished",
+                    f"an earlier sending is open at {holder.instance}",
                 )
 
-    def _unavailable(self, row: str) -> Refusal:
+    def _make_unavailable_refusal(self, row: str) -> Refusal:
         with self._lock:
-            sent_here = row in self._remembered
+            sent_here = row in self._claimed_rows
         if sent_here:
-            return self._refusal(
+            return self._make_refusal(
                 503, "claims_unavailable", "an earlier sending with this key may have run"
             )
-        return self._refusal(
+        return self._make_refusal(
             503,
             "claims_unavailable",
             "the platform's table does not answer, this sending was not run",
@@ -187,7 +202,7 @@
             retry_after_seconds=RETRY_AFTER_PLATFORM_SECONDS,
         )
 
-    def _refusal(
+    def _make_refusal(
         self,
         status: int,
         code: str,
@@ -207,7 +222,7 @@
         return int(time.time()) + self._retention_seconds
 
 
-def _same_request(claim: Claim, fingerprint: str) -> Claim:
+def _require_same_request(claim: Claim, fingerprint: str) -> Claim:
     if claim.fingerprint != fingerprint:
         raise Refusal(422, "idempotency_key_reused", "the key was first used with another request")
     return claim
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/once.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/once.py
@@ -1,4 +1,4 @@
-"""Runs a request at most once for its idempotency key, whoever waits for it."""
+"""Runs a request at most once for each idempotency key."""
 
 import threading
 import time
@@ -17,30 +17,29 @@
 
 OK = 200
 TOKENS_TYPE = "application/json"
-RETRY_AFTER_LATE_SECONDS = 1.0
+RETRY_AFTER_DEADLINE_SECONDS = 1.0
 
 Send = Callable[[], Answer]
 Start = Callable[[], Iterator[StreamEvent]]
 
 
 class Once:
-    """Claims a key, sends once, and keeps the outcome.
+    """Claims the key, sends the request once and stores its outcome.
 
-    A request that was sent is let finish when its caller's deadline passes or
-    the caller goes away: only its outcome tells whether it was run, and a
-    repeat asks for it.
+    A request that was sent is not cancelled when its deadline passes or its caller
+    disconnects: only the outcome shows whether it was run, and repeats return it.
     """
 
-    def __init__(self, claims: Claims, claim_patience_seconds: float) -> None:
+    def __init__(self, claims: Claims, claim_timeout_seconds: float) -> None:
         self._claims = claims
-        self._claim_patience_seconds = claim_patience_seconds
+        self._claim_timeout_seconds = claim_timeout_seconds
         self._condition = threading.Condition()
         self._running = 0
 
     def call(self, key: ClaimKey, fingerprint: str, deadline_at: float, send: Send) -> Answer:
-        """Return the answer of ``send`` or the one kept; raise `Refusal`.
+        """Return the answer of ``send`` or the stored one; raises `Refusal`.
 
-        ``send`` raises `Refusal`; its ``run`` decides how the claim ends.
+        ``send`` may raise `Refusal`, whose ``run`` decides how the claim ends.
         """
         claimed = self._claim(key, fingerprint, deadline_at)
         if isinstance(claimed, Answer):
@@ -55,25 +54,25 @@
                 "deadline_exceeded",
                 "the call was sent and goes on; a repeat with its key gets the outcome",
                 run=RunState.UNKNOWN,
-                retry_after_seconds=RETRY_AFTER_LATE_SECONDS,
+                retry_after_seconds=RETRY_AFTER_DEADLINE_SECONDS,
             ) from None
 
     def stream(
         self, key: ClaimKey, fingerprint: str, deadline_at: float, start: Start
     ) -> Iterator[StreamEvent]:
-        """Return the events of ``start`` or those kept; raise `Refusal`."""
+        """Return the events of ``start`` or the stored ones; raises `Refusal`."""
         claimed = self._claim(key, fingerprint, deadline_at)
         if isinstance(claimed, Answer):
-            return _replayed(claimed)
+            return _replay_events(claimed)
         try:
             events = start()
         except BaseException as error:
             self._end_failed(claimed, error)
             raise
-        return self._recorded(claimed, events)
+        return self._record_events(claimed, events)
 
     def wait_until_idle(self, timeout_seconds: float) -> None:
-        """Block until every request that was sent has ended, at most so long."""
+        """Wait until no request is running in the background, at most ``timeout_seconds``."""
         with self._condition:
             self._condition.wait_for(lambda: self._running == 0, timeout_seconds)
             if self._running:
@@ -81,8 +80,8 @@
 
     def _claim(self, key: ClaimKey, fingerprint: str, deadline_at: float) -> Claimed | Answer:
         remaining = deadline_at - time.monotonic()
-        patience = min(remaining, self._claim_patience_seconds)
-        claimed = self._claims.open(key, fingerprint, patience)
+        timeout = min(remaining, self._claim_timeout_seconds)
+        claimed = self._claims.open(key, fingerprint, timeout)
         if isinstance(claimed, Claimed) and time.monotonic() >= deadline_at:
             self._claims.release(claimed)
             raise Refusal(504, "deadline_past", "the deadline passed before it could be sent")
@@ -95,19 +94,21 @@
             self._end_failed(claimed, error)
             future.set_exception(error)
             return
-        # Kept before it is handed over: the caller may never see this answer, and
-        # then its repeat must find it.
-        self._claims.keep(claimed, answer)
+        # Stored before it is returned: if the answer does not reach the caller, a
+        # repeat must find it.
+        self._claims.complete(claimed, answer)
         future.set_result(answer)
 
-    def _recorded(self, claimed: Claimed, events: Iterator[StreamEvent]) -> Iterator[StreamEvent]:
+    def _record_events(
+        self, claimed: Claimed, events: Iterator[StreamEvent]
+    ) -> Iterator[StreamEvent]:
         texts: list[str] = []
         try:
             for event in events:
                 self._record(claimed, texts, event)
                 yield event
         except GeneratorExit:
-            # The caller is gone; the generation goes on without it.
+            # The caller disconnected; the generation is finished in the background.
             self._spawn(lambda: self._finish(claimed, texts, events))
             raise
         except BaseException as error:
@@ -126,7 +127,7 @@
             case TokenEvent(text=text):
                 texts.append(text)
             case EndEvent():
-                self._claims.keep(claimed, Answer(OK, TOKENS_TYPE, msgspec.json.encode(texts)))
+                self._claims.complete(claimed, Answer(OK, TOKENS_TYPE, msgspec.json.encode(texts)))
 
     def _end_failed(self, claimed: Claimed, error: BaseException) -> None:
         if isinstance(error, Refusal) and error.run is RunState.NOT_RUN:
@@ -137,9 +138,9 @@
     def _spawn(self, work: Callable[[], None]) -> None:
         with self._condition:
             self._running += 1
-        threading.Thread(target=self._counted, args=(work,), name="once", daemon=True).start()
+        threading.Thread(target=self._run_counted, args=(work,), name="once", daemon=True).start()
 
-    def _counted(self, work: Callable[[], None]) -> None:
+    def _run_counted(self, work: Callable[[], None]) -> None:
         try:
             work()
         finally:
@@ -148,7 +149,7 @@
                 self._condition.notify_all()
 
 
-def _replayed(answer: Answer) -> Iterator[StreamEvent]:
+def _replay_events(answer: Answer) -> Iterator[StreamEvent]:
     texts = msgspec.json.decode(answer.body, type=list[str])
     for position, text in enumerate(texts):
         yield TokenEvent(position, text)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/outcome.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/outcome.py
@@ -1,4 +1,4 @@
-"""Answers kept for repeats: small ones in the claim's row, large ones as objects."""
+"""Answers stored for repeats: small ones in the claim's row, large ones as objects."""
 
 from typing import NamedTuple
 
@@ -7,12 +7,12 @@
 
 from redwingscale_daemon._internal.store.objects import Objects
 
-LARGEST_IN_ROW_BYTES = 2048
+MAX_IN_ROW_BYTES = 2048
 OBJECT_PREFIX = "outcomes/"
 
 
 class Answer(NamedTuple):
-    """A whole answer of an upstream."""
+    """A complete answer of an upstream."""
 
     status: int
     content_type: str
@@ -20,7 +20,7 @@
 
 
 class InRow(msgspec.Struct, frozen=True, tag="row"):
-    """An answer small enough for the row."""
+    """An answer stored in the claim's row."""
 
     status: int
     content_type: str
@@ -28,7 +28,7 @@
 
 
 class InObject(msgspec.Struct, frozen=True, tag="object"):
-    """An answer whose body is the object ``object_key``."""
+    """An answer whose body is stored as the object ``object_key``."""
 
     status: int
     content_type: str
@@ -36,28 +36,28 @@
 
 
 class OutcomeStore:
-    """Puts answers where they belong and reads them back."""
+    """Stores answers by size and reads them back."""
 
     def __init__(self, objects: Objects) -> None:
         self._objects = objects
 
     def put(self, answer: Answer) -> InRow | InObject:
-        """Return what the row holds; raise `PlatformUnavailable` or `WriteUnknown`.
+        """Store ``answer`` and return what belongs in the row.
 
-        The object is keyed by the digest of its content, so that writing it
-        again after a lost reply changes nothing.
+        Raises `PlatformUnavailable` or `WriteUnknown`. An object is keyed by the digest
+        of its content, so writing it again after a lost reply changes nothing.
         """
-        if len(answer.body) <= LARGEST_IN_ROW_BYTES:
+        if len(answer.body) <= MAX_IN_ROW_BYTES:
             return InRow(*answer)
         key = OBJECT_PREFIX + sha256_hex(answer.body)
         self._objects.put(key, answer.body)
         return InObject(answer.status, answer.content_type, key)
 
-    def get(self, kept: InRow | InObject) -> Answer:
-        """Return the answer; raise `PlatformUnavailable`."""
-        match kept:
+    def get(self, stored: InRow | InObject) -> Answer:
+        """Return the answer; raises `PlatformUnavailable`."""
+        match stored:
             case InRow():
-                return Answer(kept.status, kept.content_type, kept.body)
+                return Answer(stored.status, stored.content_type, stored.body)
             case InObject():
-                body = self._objects.get(kept.object_key)
-                return Answer(kept.status, kept.content_type, body)
+                body = self._objects.get(stored.object_key)
+                return Answer(stored.status, stored.content_type, body)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/retention.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/idempotency/retention.py
@@ -1,4 +1,4 @@
-"""Deletes claims whose time is past, by an index of when they expire."""
+"""Deletes expired claims, found by an index of their expiry times."""
 
 import itertools
 import threading
@@ -17,20 +17,20 @@
 PROGRESS_KEY = "claim-sweep"
 LEASE_NAME = "claim-sweep"
 BUCKET_SECONDS = 3600
-MOST_IN_INDEX_ROW = 200
-PAUSE_SECONDS = 1.0
-# The bucket that is running, and one for claims whose time started again when
+MAX_INDEX_ROW_CLAIMS = 200
+SWEEP_PAUSE_SECONDS = 1.0
+# The current bucket, and one more for claims whose retention time started again when
 # their requests ended.
 GRACE_BUCKETS = 2
 
 
 class Retention:
-    """Notes claims made here; the holder of one lease sweeps those of everybody.
+    """Indexes the claims of this instance; one lease holder sweeps those of all instances.
 
-    A scan over all claims would read millions of rows. So each instance writes,
-    now and then, which rows expire in which bucket of time, and the sweep reads
-    only the buckets that are past. What an instance noted but had not written
-    when it was killed stays in the table.
+    A scan over all claims would read millions of rows. Instead, each instance writes
+    from time to time which rows expire in which bucket of time, and the sweep reads
+    only the buckets that have passed. Claims that an instance had not yet written to
+    the index when it was killed stay in the table.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         table: Table,
         claimant: Claimant,
         may_sweep: Callable[[], bool],
-        pause_seconds: float = PAUSE_SECONDS,
+        pause_seconds: float = SWEEP_PAUSE_SECONDS,
         clock: Callable[[], float] = time.time,
     ) -> None:
         self._table = table
@@ -47,24 +47,24 @@
         self._pause_seconds = pause_seconds
         self._clock = clock
         self._lock = threading.Lock()
-        self._numbers = itertools.count()
+        self._index_numbers = itertools.count()
         self._rows_by_bucket: dict[int, list[str]] = defaultdict(list)
 
     def note(self, row: str, expires_at: int) -> None:
-        """Remember that the claim in ``row`` expires at ``expires_at``, Unix seconds."""
+        """Note that the claim in ``row`` expires at ``expires_at``, in Unix seconds."""
         with self._lock:
             self._rows_by_bucket[expires_at // BUCKET_SECONDS].append(row)
 
     def flush(self) -> None:
-        """Write what was noted; on an outage it stays noted."""
+        """Write the noted claims to the index; those that cannot be written stay noted."""
         with self._lock:
             noted, self._rows_by_bucket = self._rows_by_bucket, defaultdict(list)
         for bucket, rows in noted.items():
-            for start in range(0, len(rows), MOST_IN_INDEX_ROW):
-                self._write_index(bucket, rows[start : start + MOST_IN_INDEX_ROW])
+            for start in range(0, len(rows), MAX_INDEX_ROW_CLAIMS):
+                self._write_index(bucket, rows[start : start + MAX_INDEX_ROW_CLAIMS])
 
     def sweep(self) -> None:
-        """Delete the claims of the oldest bucket that is past, if the lease is held."""
+        """Delete the expired claims of the next bucket that is due, if the lease can be held."""
         if not self._may_sweep():
             return
         due = int(self._clock()) // BUCKET_SECONDS - GRACE_BUCKETS
@@ -78,7 +78,7 @@
         log_event("claims_swept", bucket=bucket, deleted=deleted)
 
     def _write_index(self, bucket: int, rows: list[str]) -> None:
-        name = f"{self._claimant.instance}-{self._claimant.boot}-{next(self._numbers)}"
+        name = f"{self._claimant.instance}-{self._claimant.boot}-{next(self._index_numbers)}"
         key = f"{INDEX_PREFIX}{bucket}/{name}"
         try:
             self._table.put_if(key, rows, ABSENT)
@@ -96,28 +96,28 @@
             return 0
         claims = self._table.read(index.value)
         now = self._clock()
-        past: dict[str, Row] = {}
+        expired: dict[str, Row] = {}
         for name, row in claims.items():
             if row is None:
                 continue
             if row.value["expires_at"] < now:
-                past[name] = row
+                expired[name] = row
             else:
                 self.note(name, row.value["expires_at"])
-        self._delete(key, past)
+        self._delete(key, expired)
         time.sleep(self._pause_seconds)
-        return len(past)
+        return len(expired)
 
-    def _delete(self, index: str, past: dict[str, Row]) -> None:
-        # The checks keep a claim that a repeat is taking just now. A lost reply
-        # ends this sweep; the next one finds what is left.
+    def _delete(self, index: str, expired: dict[str, Row]) -> None:
+        # The checks protect a claim that a repeat is opening at the same time. A lost
+        # reply ends this sweep; the next sweep deletes what is left.
         while True:
             transaction = Transaction(
                 new_write_id(),
-                checks=[Check(name, row.version) for name, row in past.items()],
-                deletes=[index, *past],
+                checks=[Check(name, row.version) for name, row in expired.items()],
+                deletes=[index, *expired],
             )
             outcome = self._table.commit(transaction)
             if isinstance(outcome, Committed):
                 return
-            past = {name: row for name, row in past.items() if name not in outcome.rows}
+            expired = {name: row for name, row in expired.items() if name not in outcome.rows}
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/gossip_state.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/gossip_state.py
@@ -1,4 +1,4 @@
-"""What this instance knows of the others: the newest entry of each key."""
+"""The gossip state of this instance: the newest entry of each key."""
 
 import itertools
 import threading
@@ -9,85 +9,88 @@
 from redwingscale_common.utils.logs import log_event
 
 from redwingscale_daemon._internal.membership.entry import Entry, EntryKey
-from redwingscale_daemon._internal.membership.known import Known, known_now
+from redwingscale_daemon._internal.membership.stored_entry import StoredEntry, make_stored_entry
 
 Subscriber = Callable[[Entry], None]
-FORGOTTEN_ORIGINS = 4096
+MAX_FORGOTTEN_ORIGINS = 4096
 
 
 class GossipState:
-    """Keeps entries, tells subscribers of a topic, and numbers this instance's own."""
+    """Stores entries, notifies subscribers of a topic, and numbers this instance's entries.
+
+    ``boot`` is the start of this process in Unix milliseconds, unless it was raised.
+    """
 
     def __init__(self, instance: str) -> None:
         self._lock = threading.Lock()
         self._instance = instance
         self._sequence = itertools.count(1)
-        self._known: dict[EntryKey, Known] = {}
+        self._stored_by_key: dict[EntryKey, StoredEntry] = {}
         self._forgotten_boots: dict[str, int] = {}
         self._subscribers: dict[str, list[Subscriber]] = {}
         self._forward: list[Callable[[Entry], None]] = []
         self.boot = time.time_ns() // 1_000_000
 
     def subscribe(self, topic: str, subscriber: Subscriber) -> None:
-        """Call ``subscriber`` with each new entry of ``topic``, also this instance's own."""
+        """Call ``subscriber`` with each new entry of ``topic``, including this instance's own."""
         self._subscribers.setdefault(topic, []).append(subscriber)
 
     def on_forward(self, forward: Callable[[Entry], None]) -> None:
-        """Call ``forward`` with each entry that the links have to carry on."""
+        """Call ``forward`` with each entry that the links must send on."""
         self._forward.append(forward)
 
     def publish(self, topic: str, key: str, value: object) -> None:
-        """Tell all instances ``value`` (a MessagePack-able value) about ``key``."""
+        """Publish ``value``, which MessagePack can encode, under ``key`` to all instances."""
         self._publish(topic, key, msgspec.msgpack.encode(value))
 
     def accept(self, entry: Entry, source: str = "") -> bool:
-        """Take ``entry`` if it is new; return whether it was.
+        """Store ``entry`` if it is new; return whether it was.
 
-        ``source`` is the peer that told it, empty for this instance's own.
+        ``source`` is the peer that sent it, empty for this instance's own entries.
         """
         if source and entry.origin == self._instance:
-            self._outdo(entry)
+            self._republish_above(entry)
             return False
         with self._lock:
-            known = self._known.get(entry.entry_key)
-            if not entry.is_newer_than(known.entry if known else None):
+            stored = self._stored_by_key.get(entry.entry_key)
+            if not entry.is_newer_than(stored.entry if stored else None):
                 return False
             if entry.boot <= self._forgotten_boots.get(entry.origin, -1):
                 return False
-            self._known[entry.entry_key] = known_now(entry)
+            self._stored_by_key[entry.entry_key] = make_stored_entry(entry)
         for forward in self._forward:
             forward(entry)
-        self._tell(entry)
+        self._notify(entry)
         return True
 
     def entries(self, topic: str | None = None) -> list[Entry]:
-        """Return all entries known, or those of ``topic``."""
+        """Return all entries, or those of ``topic``."""
         return [k.entry for k in self.stored_entries() if topic is None or k.entry.topic == topic]
 
-    def stored_entries(self) -> list[Known]:
-        """Return all entries with what is kept beside them."""
+    def stored_entries(self) -> list[StoredEntry]:
+        """Return all entries with their hashes and times."""
         with self._lock:
-            return list(self._known.values())
+            return list(self._stored_by_key.values())
 
     def forget_origins(self, keep: set[str], seconds: float) -> None:
-        """Drop the entries of origins outside ``keep`` that told nothing for ``seconds``.
+        """Drop entries of origins outside ``keep`` without a new entry for ``seconds``.
 
-        A peer that has not dropped them yet would bring them back, and so on
-        in a circle for ever; entries of the boot that was dropped are refused.
+        Entries of a dropped boot are refused from then on: otherwise peers that
+        have not dropped them yet would send them again, in a circle without end.
         """
         horizon = time.monotonic() - seconds
         with self._lock:
             newest: dict[str, float] = {}
-            for item in self._known.values():
+            for item in self._stored_by_key.values():
                 origin = item.entry.origin
-                newest[origin] = max(newest.get(origin, 0.0), item.seen_at)
+                newest[origin] = max(newest.get(origin, 0.0), item.stored_at)
             gone = {o for o, at in newest.items() if at < horizon and o not in keep}
             gone.discard(self._instance)
-            for key in [k for k in self._known if k.origin in gone]:
-                boot = self._known.pop(key).entry.boot
+            for key in [k for k in self._stored_by_key if k.origin in gone]:
+                boot = self._stored_by_key.pop(key).entry.boot
                 forgotten = self._forgotten_boots.get(key.origin, -1)
                 self._forgotten_boots[key.origin] = max(boot, forgotten)
-            excess = len(self._forgotten_boots) - FORGOTTEN_ORIGINS
+            excess = len(self._forgotten_boots) - MAX_FORGOTTEN_ORIGINS
             for origin in list(self._forgotten_boots)[: max(0, excess)]:
                 del self._forgotten_boots[origin]
 
@@ -95,28 +98,31 @@
         sequence = next(self._sequence)
         self.accept(Entry(self._instance, topic, key, self.boot, sequence, payload))
 
-    def _outdo(self, entry: Entry) -> None:
-        """Answer an own entry of a later boot, left over from before the clock was set back.
+    def _republish_above(self, entry: Entry) -> None:
+        """Raise the boot above that of ``entry`` and publish all own entries again.
 
-        The peers would refuse everything that this process publishes as older
-        than that; so it goes on with a higher boot and tells all again.
+        An own entry with a later boot remains at peers when the clock was set
+        back before a restart. Peers would refuse everything that this process
+        publishes as older than that entry.
         """
         with self._lock:
             if entry.boot <= self.boot:
                 return
             self.boot = entry.boot + 1
-            own = [k.entry for k in self._known.values() if k.entry.origin == self._instance]
+            own = [
+                k.entry for k in self._stored_by_key.values() if k.entry.origin == self._instance
+            ]
         log_event("boot_raised", level="WARNING", boot=self.boot)
         for item in own:
             self._publish(item.topic, item.key, item.payload)
 
-    def _tell(self, entry: Entry) -> None:
+    def _notify(self, entry: Entry) -> None:
         for subscriber in self._subscribers.get(entry.topic, []):
             try:
                 subscriber(entry)
             except Exception as error:
-                # A payload of another shape (an older release, a fault of a peer) must
-                # end neither the thread that hears all peers nor a publisher's.
+                # A payload of another shape (an older release, a faulty peer) must not
+                # end the thread that receives from all peers, or a publisher's thread.
                 log_event(
                     "entry_rejected",
                     level="WARNING",
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/heartbeat_clock.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/heartbeat_clock.py
@@ -1,20 +1,21 @@
-"""The heartbeat number of this instance."""
+"""The clock that gives the heartbeat numbers of this instance."""
 
 import threading
 import time
 
-BEATS_PER_SECOND = 10
-# Beats count from here, so that they stay within 32 bits until 2038.
+HEARTBEAT_NUMBERS_PER_SECOND = 10
+# Numbers count from this Unix time, so that they stay within 32 bits until 2038.
 EPOCH_SECONDS = 1_735_689_600
 
 
 class HeartbeatClock:
-    """A number that rises by `BEATS_PER_SECOND`, also across restarts.
+    """A number that rises by `HEARTBEAT_NUMBERS_PER_SECOND`, also across restarts.
 
-    It starts from the wall clock and goes on by the monotonic one, so that a
-    restarted instance continues above its former beats. Where the wall clock
-    was set back, peers would take the beats for old ones and the instance for
-    dead; they then tell it their newest beat, and `raise_above` jumps past it.
+    It starts from the wall clock and continues by the monotonic clock, so a
+    restarted instance continues above its former heartbeats. If the wall clock
+    was set back, peers take the heartbeats for old ones and the instance for
+    dead. They acknowledge the highest heartbeat that they received, and
+    `raise_above` moves the clock past it.
     """
 
     def __init__(self) -> None:
@@ -23,12 +24,12 @@
         self._offset = wall - time.monotonic()
 
     def now(self) -> int:
-        """Return the beat of this moment."""
-        return int((time.monotonic() + self._offset) * BEATS_PER_SECOND)
+        """Return the current heartbeat number."""
+        return int((time.monotonic() + self._offset) * HEARTBEAT_NUMBERS_PER_SECOND)
 
-    def raise_above(self, beat: int) -> None:
-        """Go on above ``beat`` when a peer has seen a higher one than this clock gives."""
+    def raise_above(self, heartbeat: int) -> None:
+        """Continue above ``heartbeat`` if a peer has received a higher one than `now`."""
         with self._lock:
-            ahead = beat + 1 - self.now()
+            ahead = heartbeat + 1 - self.now()
             if ahead > 1:
-                self._offset += ahead / BEATS_PER_SECOND
+                self._offset += ahead / HEARTBEAT_NUMBERS_PER_SECOND
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/membership/link.py
@@ -1,4 +1,4 @@
-"""The sending side of one link to a peer: its own thread and socket."""
+"""The sending side of the link to one peer, with its own thread and socket."""
 
 import threading
 import time
@@ -9,41 +9,44 @@
 from redwingscale_common.utils.digests import rendezvous_score
 from redwingscale_common.utils.logs import log_event
 
+from redwingscale_daemon._internal.membership.anti_entropy import SETTLED_SECONDS, make_root
 from redwingscale_daemon._internal.membership.entry import Entry, EntryKey
 from redwingscale_daemon._internal.membership.frame import Frame, encode_frame
 from redwingscale_daemon._internal.membership.gossip_state import GossipState
 from redwingscale_daemon._internal.membership.heartbeat_clock import (
-    BEATS_PER_SECOND,
+    HEARTBEAT_NUMBERS_PER_SECOND,
     HeartbeatClock,
 )
 from redwingscale_daemon._internal.membership.message import Entries, Hello, Message
-from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, beat_id
-from redwingscale_daemon._internal.membership.summary import SETTLED_SECONDS, root_of
+from redwingscale_daemon._internal.membership.peer_heartbeats import PeerHeartbeats, heartbeat_id
 from redwingscale_daemon._internal.membership.traffic import Traffic
 from redwingscale_daemon._internal.utils.periodic import Periodic
 
 SEND_TIMEOUT_MS = 500
-BATCH_ENTRIES = 128
-# Entries that come together go out together: a burst costs one frame, not one each.
+MAX_BATCH_ENTRIES = 128
+# Entries that arrive together are sent together: a burst costs one frame, not one each.
 COALESCE_SECONDS = 0.02
-# Each direction of a link waits a time of its own, so that the two ends, which learn
-# of an entry at nearly the same time, do not both send it to each other.
+# Each direction of a link has its own delay of up to this time, so that two ends that
+# receive an entry at nearly the same time do not both send it to each other.
 STAGGER_SECONDS = 0.13
-SILENT_HEARTBEATS = 4
-LONGEST_PATIENCE = 8
+# Heartbeats without a new acknowledgement after which a link is dialled again.
+SILENCE_TIMEOUT_HEARTBEATS = 4
+MAX_TIMEOUT_FACTOR = 8
 SCORE_LIMIT = 1 << 64
-RELAY_SECONDS = 2.5
+# A link relays the heartbeat of another instance again once it rose by two heartbeat
+# intervals, or by this time if that is less.
+MAX_RELAY_INTERVAL_SECONDS = 2.5
 
 
 class LinkTiming(NamedTuple):
-    """Seconds between heartbeats and between full cycles."""
+    """Seconds between heartbeats and between full comparisons of the entries."""
 
     heartbeat: float
     full_cycle: float
 
 
 class Sender(NamedTuple):
-    """What all links of an instance share."""
+    """State that all links of an instance share."""
 
     instance: str
     failure_domain: str
@@ -58,30 +61,30 @@
 class Link:
     """Pushes heartbeats and messages to one peer, and redials when it is silent.
 
-    A ``Push0`` whose connection has gone silent takes every send and none
-    arrives. Only the peer can tell: its own frames acknowledge the last beat
-    that it heard from here. When no acknowledgement rises for a few heartbeats
-    the link is dropped with its socket and dialled anew, which also mends a
-    cut of one direction only.
+    A ``Push0`` whose connection has fallen silent accepts every send, and nothing
+    arrives. Only the peer notices: its own frames acknowledge the last heartbeat
+    that it received on this link. If the acknowledgement does not rise for a few
+    heartbeats, the socket is closed and the peer dialled again, which also
+    restores a link that was cut in one direction only.
     """
 
     def __init__(
-        self, sender: Sender, peer: str, url: str, own_url: str, *, inside: bool, chosen: bool
+        self, sender: Sender, peer: str, url: str, own_url: str, *, same_domain: bool, chosen: bool
     ) -> None:
         self._sender = sender
         self._own_url = own_url
         self._chosen = chosen
-        self._inside = inside
+        self._same_domain = same_domain
         self._lock = threading.Lock()
         self._pending: dict[EntryKey, Entry] = {}
         self._messages: list[Message] = []
-        self._beats_shared: dict[int, int] = {}
+        self._relayed_by_id: dict[int, int] = {}
         self._socket: pynng.Push0 | None = None
         self._full_cycle_at = 0.0
-        self._fresh = True
+        self._is_new_connection = True
         self._acknowledged = 0
         self._acknowledged_at = time.monotonic()
-        self._patience = 1
+        self._timeout_factor = 1
         self._failing = False
         share = rendezvous_score(sender.instance, peer) / SCORE_LIMIT
         self._delay_seconds = COALESCE_SECONDS + STAGGER_SECONDS * share
@@ -93,53 +96,53 @@
         self._task.start()
 
     def stop(self) -> None:
-        """Take leave of the peer and end.
+        """Inform the peer that the link is no longer chosen, and end it.
 
-        A peer that links back would otherwise go on for some cycles, hear no
-        acknowledgement and redial in vain.
+        A peer that links back would otherwise continue for some cycles, receive no
+        acknowledgement and redial to no effect.
         """
         self._task.stop()
         if self._socket is not None:
             self._send([Hello(self._own_url, False)])
         self._close()
 
-    def choose(self, chosen: bool) -> None:
-        """Tell the peer at once when this end begins or ceases to choose the link."""
+    def set_chosen(self, chosen: bool) -> None:
+        """Set whether this end chooses the link; send a change to the peer at once."""
         if chosen != self._chosen:
             self._chosen = chosen
             self.send(Hello(self._own_url, chosen))
 
     def offer(self, entry: Entry) -> None:
-        """Send ``entry`` soon; it replaces an older one that still waits."""
+        """Send ``entry`` soon; it replaces a pending older one."""
         with self._lock:
             self._pending[entry.entry_key] = entry
         self._task.wake()
 
     def send(self, message: Message) -> None:
-        """Send ``message`` soon; it is lost when the link breaks first."""
+        """Send ``message`` soon; it is lost if the link breaks first."""
         with self._lock:
             self._messages.append(message)
         self._task.wake()
 
-    def received(self, entries: Iterable[Entry]) -> None:
-        """Do not send back what the peer has just told."""
+    def drop_pending(self, entries: Iterable[Entry]) -> None:
+        """Drop pending entries that the peer itself has just sent."""
         with self._lock:
             for entry in entries:
                 waiting = self._pending.get(entry.entry_key)
                 if waiting is not None and not waiting.is_newer_than(entry):
                     del self._pending[entry.entry_key]
 
-    def received_beats(self, heartbeats: Iterable[tuple[int, int]]) -> None:
-        """Do not relay back beats that the peer has just relayed."""
-        for key, beat in heartbeats:
-            self._beats_shared[key] = max(beat, self._beats_shared.get(key, 0))
+    def note_relayed(self, heartbeats: Iterable[tuple[int, int]]) -> None:
+        """Note heartbeats that the peer has just relayed, so they are not relayed back."""
+        for key, heartbeat in heartbeats:
+            self._relayed_by_id[key] = max(heartbeat, self._relayed_by_id.get(key, 0))
 
-    def acknowledge(self, beat: int) -> None:
-        """Note that the peer has heard ``beat`` of this instance."""
-        if beat > self._acknowledged:
-            self._acknowledged = beat
+    def acknowledge(self, heartbeat: int) -> None:
+        """Note that the peer has received ``heartbeat`` of this instance."""
+        if heartbeat > self._acknowledged:
+            self._acknowledged = heartbeat
             self._acknowledged_at = time.monotonic()
-            self._patience = 1
+            self._timeout_factor = 1
 
     def _step(self) -> None:
         if self._pending:
@@ -151,13 +154,13 @@
             self._send(more)
 
     def _redial_if_silent(self) -> None:
-        limit = self._sender.timing.heartbeat * SILENT_HEARTBEATS * self._patience
+        limit = self._sender.timing.heartbeat * SILENCE_TIMEOUT_HEARTBEATS * self._timeout_factor
         if time.monotonic() - self._acknowledged_at < limit:
             return
         log_event("link_silent", level="WARNING", peer=self.peer, url=self.url)
-        self._sender.traffic.redialled()
-        # A dead peer is dialled less and less often, up to a bound.
-        self._patience = min(self._patience * 2, LONGEST_PATIENCE)
+        self._sender.traffic.count_redial()
+        # The timeout of a peer that stays silent doubles up to a bound.
+        self._timeout_factor = min(self._timeout_factor * 2, MAX_TIMEOUT_FACTOR)
         self._close()
 
     def _due_messages(self) -> list[list[Message]]:
@@ -165,20 +168,22 @@
             entries = list(self._pending.values())
             self._pending.clear()
             first, self._messages = self._messages, []
-        first = self._cycle() + first
-        chunks = [entries[i : i + BATCH_ENTRIES] for i in range(0, len(entries), BATCH_ENTRIES)]
+        first = self._full_cycle() + first
+        chunks = [
+            entries[i : i + MAX_BATCH_ENTRIES] for i in range(0, len(entries), MAX_BATCH_ENTRIES)
+        ]
         batches: list[list[Message]] = [[Entries(chunk)] for chunk in chunks]
         return [first, *batches] if first else batches
 
-    def _cycle(self) -> list[Message]:
+    def _full_cycle(self) -> list[Message]:
         now = time.monotonic()
         if now < self._full_cycle_at:
             return []
         self._full_cycle_at = now + self._sender.timing.full_cycle
-        settled = 0.0 if self._fresh else SETTLED_SECONDS
-        self._fresh = False
+        settled_seconds = 0.0 if self._is_new_connection else SETTLED_SECONDS
+        self._is_new_connection = False
         hello = Hello(self._own_url, self._chosen)
-        return [hello, root_of(self._sender.gossip.stored_entries(), settled)]
+        return [hello, make_root(self._sender.gossip.stored_entries(), settled_seconds)]
 
     def _send(self, messages: list[Message]) -> None:
         sender = self._sender
@@ -187,13 +192,13 @@
             sender.failure_domain,
             sender.clock.now(),
             sender.heartbeats.latest(self.peer),
-            self._due_beats() if self._inside else [],
+            self._due_heartbeats() if self._same_domain else [],
             messages,
         )
         data = encode_frame(frame, sender.key)
         try:
             self._open().send(data)
-            sender.traffic.sent(len(data))
+            sender.traffic.count_sent(len(data))
             self._failing = False
         except pynng.NNGException as error:
             self._fail(error)
@@ -204,15 +209,18 @@
         self._failing = True
         self._close()
 
-    def _due_beats(self) -> list[tuple[int, int]]:
-        """Return the beats that rose enough since this link last carried them."""
-        step = int(min(RELAY_SECONDS, 2 * self._sender.timing.heartbeat) * BEATS_PER_SECOND)
-        own = (beat_id(self._sender.instance), beat_id(self.peer))
-        shared = self._beats_shared
+    def _due_heartbeats(self) -> list[tuple[int, int]]:
+        """Return the heartbeats that rose enough since this link last relayed them."""
+        step = int(
+            min(MAX_RELAY_INTERVAL_SECONDS, 2 * self._sender.timing.heartbeat)
+            * HEARTBEAT_NUMBERS_PER_SECOND
+        )
+        own = (heartbeat_id(self._sender.instance), heartbeat_id(self.peer))
+        shared = self._relayed_by_id
         due = [
-            (key, beat)
-            for key, beat in self._sender.heartbeats.relayed()
-            if beat >= shared.get(key, 0) + step and key not in own
+            (key, heartbeat)
+            for key, heartbeat in self._sender.heartbeats.relayed()
+            if heartbeat >= shared.get(key, 0) + step and key not in own
         ]
         shared.update(due)
         return due
@@ -224,11 +232,11 @@
         return self._socket
 
     def _close(self) -> None:
-        """Drop the socket; the next one begins with a full cycle of everything."""
+        """Close the socket; the next one begins with a comparison of all entries."""
         if self._socket is not None:
             self._socket.close()
         self._socket = None
-        self._fresh = True
+        self._is_new_connection = True
         self._full_cycle_at = 0.0
-        self._beats_shared.clear()
+        self._relayed_by_id.clear()
         self._acknowledged_at = time.monotonic()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/assign.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/assign.py
@@ -1,11 +1,11 @@
-"""First and second replicas: every listed model somewhere, two domains where memory allows."""
+"""Places a first replica of every listed model, and a second in another failure domain."""
 
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
 from redwingscale_common.finding import Finding
 
-from redwingscale_daemon._internal.placement.engine_room import EngineRoom, Standing
+from redwingscale_daemon._internal.placement.engine_room import Availability, EngineRoom
 from redwingscale_daemon._internal.placement.group import Group
 from redwingscale_daemon._internal.placement.layout import Layout
 from redwingscale_daemon._internal.placement.make_room import make_room
@@ -13,7 +13,7 @@
 
 
 class Assignment(NamedTuple):
-    """A layout, and what could not be placed once."""
+    """A layout, with a finding for each group that has no replica in it."""
 
     layout: Layout
     findings: list[Finding]
@@ -25,28 +25,30 @@
     previous_by_engine: Mapping[str, Collection[str]],
     load_by_key: Mapping[str, float],
 ) -> Assignment:
-    """Return the previous layout with the fewest changes that make it whole.
+    """Return the previous layout with as few changes as give every group its replicas.
 
-    All first replicas go before any second one, and take the room of spare
-    replicas where there is no other. What does not fit is left out by demand:
-    the least wanted models are the ones that are missing.
+    All first replicas are placed before any second one, and replace additional replicas
+    if there is no free memory. If not all groups fit, those with the least demand are
+    left out.
     """
-    layout = _kept(groups_by_key, rooms_by_engine, previous_by_engine)
-    groups = _in_order(groups_by_key, layout, load_by_key)
+    layout = _keep_previous(groups_by_key, rooms_by_engine, previous_by_engine)
+    groups = _in_placement_order(groups_by_key, layout, load_by_key)
     missing = [g for g in groups if not _is_reachable(layout, g)]
-    findings = [_finding(g) for g in missing if not _place(layout, g, 1, load_by_key)]
+    findings = [_finding(g) for g in missing if not _place_replica(layout, g, 1, load_by_key)]
     for group in groups:
         if len(layout.domains(group.key)) == 1:
-            _place(layout, group, 2, load_by_key)
+            _place_replica(layout, group, 2, load_by_key)
     return Assignment(layout, findings)
 
 
 def _is_reachable(layout: Layout, group: Group) -> bool:
     rooms = layout.rooms_by_engine
-    return any(rooms[e].standing is not Standing.CUT for e in layout.replicas(group.key))
+    return any(
+        rooms[e].availability is not Availability.PARTITIONED for e in layout.replicas(group.key)
+    )
 
 
-def _kept(
+def _keep_previous(
     groups_by_key: Mapping[str, Group],
     rooms_by_engine: Mapping[str, EngineRoom],
     previous_by_engine: Mapping[str, Collection[str]],
@@ -60,13 +62,13 @@
     return layout
 
 
-def _in_order(
+def _in_placement_order(
     groups_by_key: Mapping[str, Group], layout: Layout, load_by_key: Mapping[str, float]
 ) -> list[Group]:
     capacity = sum(r.capacity_bytes for r in layout.rooms_by_engine.values() if r.is_open)
     groups = groups_by_key.values()
     if sum(g.size_bytes for g in groups) <= capacity:
-        # Everything fits once: large before small wastes the least memory.
+        # All groups fit once: placing large groups first wastes the least memory.
         return sorted(groups, key=lambda g: (-g.size_bytes, g.key))
     return sorted(groups, key=lambda g: (-load_by_key.get(g.key, 0.0), g.size_bytes, g.key))
 
@@ -79,7 +81,9 @@
     )
 
 
-def _place(layout: Layout, group: Group, replica: int, load_by_key: Mapping[str, float]) -> bool:
+def _place_replica(
+    layout: Layout, group: Group, replica: int, load_by_key: Mapping[str, float]
+) -> bool:
     """Add replica number ``replica`` of ``group``; return whether there was room."""
     taken = layout.domains(group.key)
     engines = [
@@ -100,8 +104,8 @@
 
 
 def _preference(layout: Layout, engine: str, group: Group) -> tuple[bool, bool, int, str]:
-    """Rank where it is already resident, then where it fits beside all that is."""
+    """Return a sort key: already resident, then fits beside all residents, then most free."""
     room = layout.rooms_by_engine[engine]
     resident_bytes = sum(r.size_bytes for r in room.residents)
-    beside = room.capacity_bytes - resident_bytes >= group.size_bytes
-    return room.holds(group.key), beside, layout.free_bytes(engine), engine
+    fits_beside_residents = room.capacity_bytes - resident_bytes >= group.size_bytes
+    return room.has_resident(group.key), fits_beside_residents, layout.free_bytes(engine), engine
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/backoff.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/backoff.py
@@ -1,11 +1,11 @@
-"""Waits between loads that fail, so that a broken unit does not wear the weight store."""
+"""Backoff between failed loads, so that a broken unit does not overload the weight store."""
 
 from typing import NamedTuple
 
 from redwingscale_daemon._internal.leases.clock import Clock
 
-FIRST_SECONDS = 1.0
-LONGEST_SECONDS = 30.0
+INITIAL_SECONDS = 1.0
+MAX_SECONDS = 30.0
 
 
 class _Wait(NamedTuple):
@@ -14,19 +14,19 @@
 
 
 class Backoff:
-    """Doubles a unit's wait with each failure in a row."""
+    """Doubles the wait of a unit with each consecutive failure."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._waits_by_unit: dict[str, _Wait] = {}
 
     def note(self, unit: str, *, failed: bool) -> None:
-        """Take note of how an order on ``unit`` ended."""
+        """Record whether an order on ``unit`` failed; a success resets the wait."""
         if not failed:
             self._waits_by_unit.pop(unit, None)
             return
         last = self._waits_by_unit.get(unit)
-        seconds = min(LONGEST_SECONDS, 2 * last.seconds) if last else FIRST_SECONDS
+        seconds = min(MAX_SECONDS, 2 * last.seconds) if last else INITIAL_SECONDS
         self._waits_by_unit[unit] = _Wait(self._clock() + seconds, seconds)
 
     def is_over(self, unit: str) -> bool:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/balance.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/balance.py
@@ -1,17 +1,19 @@
-"""A fluid estimate of how the demand spreads over the engines of a layout."""
+"""Estimates how demand is distributed over the engines of a layout."""
 
 from collections.abc import Collection
 from typing import NamedTuple
 
 from redwingscale_daemon._internal.placement.layout import Layout
 
-KNEE = 0.85
-OVERLOAD = 1.15
-SWEEPS = 4
+# Up to this load per slot, all requests are expected to finish on time.
+KNEE_UTILISATION = 0.85
+# Beyond this load per slot, no additional request is expected to finish on time.
+OVERLOAD_UTILISATION = 1.15
+SPREAD_ITERATIONS = 4
 
 
 class Change(NamedTuple):
-    """A replica of ``key`` that is added to or taken from ``engine``."""
+    """A replica of the group ``key`` that is added to or removed from ``engine``."""
 
     engine: str
     key: str
@@ -19,10 +21,10 @@
 
 
 class Balance:
-    """Work in progress (requests at once) by engine, with each group's part in it.
+    """Load (concurrent requests) by engine, and by group and engine.
 
-    Each group's work is spread over its replicas so that the fullest of them is
-    as empty as can be: what a load-aware router comes near to.
+    The load of each group is distributed over its replicas so that the highest
+    utilisation among them is minimal, which a load-aware router approximates.
     """
 
     def __init__(self, layout: Layout, load_by_key: dict[str, float]) -> None:
@@ -30,81 +32,94 @@
         self._load_by_key = load_by_key
         self._slots = {e: max(1, r.slots) for e, r in layout.rooms_by_engine.items()}
         self.load_by_engine = dict.fromkeys(layout.rooms_by_engine, 0.0)
-        self.parts_by_key: dict[str, dict[str, float]] = {
+        self.replica_loads_by_key: dict[str, dict[str, float]] = {
             key: dict.fromkeys(engines, 0.0)
             for key, engines in layout.engines_by_key.items()
             if engines and load_by_key.get(key, 0.0) > 0.0
         }
-        self._settle(sorted(self.parts_by_key, key=lambda k: -load_by_key[k]))
+        self._rebalance(sorted(self.replica_loads_by_key, key=lambda k: -load_by_key[k]))
 
     def utilisation(self, engine: str) -> float:
-        """Return work per slot."""
+        """Return the load per slot."""
         return self.load_by_engine[engine] / self._slots[engine]
 
     def gain(self, changes: Collection[Change]) -> float:
-        """Return by how much the work on time rises with ``changes``; nothing is changed."""
-        parts, loads = self.parts_by_key, self.load_by_engine
-        self.parts_by_key, self.load_by_engine = dict(parts), dict(loads)
+        """Return how much more load is on time after ``changes``, without applying them."""
+        replica_loads, engine_loads = self.replica_loads_by_key, self.load_by_engine
+        self.replica_loads_by_key, self.load_by_engine = dict(replica_loads), dict(engine_loads)
         touched = self.apply(changes)
         gained = sum(
-            _on_time(self.load_by_engine[e], self._slots[e]) - _on_time(loads[e], self._slots[e])
+            _on_time_load(self.load_by_engine[e], self._slots[e])
+            - _on_time_load(engine_loads[e], self._slots[e])
             for e in touched
         )
-        self.parts_by_key, self.load_by_engine = parts, loads
+        self.replica_loads_by_key, self.load_by_engine = replica_loads, engine_loads
         return gained
 
     def apply(self, changes: Collection[Change]) -> set[str]:
-        """Make ``changes``, spread the work of the groups around them anew.
+        """Apply ``changes`` and redistribute the load of all groups on their engines.
 
-        Returns the engines whose work may have changed.
+        Returns the engines whose load may have changed.
         """
         engines = {change.engine for change in changes}
         keys = {key for e in engines for key in self._layout.groups_by_engine[e]}
         keys |= {change.key for change in changes}
-        around = sorted(keys & self.parts_by_key.keys(), key=lambda k: -self._load_by_key[k])
+        affected = sorted(
+            keys & self.replica_loads_by_key.keys(), key=lambda k: -self._load_by_key[k]
+        )
         for change in changes:
-            if change.key in self.parts_by_key:
+            if change.key in self.replica_loads_by_key:
                 self._change(change)
-        self._settle(around)
-        return engines | {e for key in around for e in self.parts_by_key[key]}
+        self._rebalance(affected)
+        return engines | {e for key in affected for e in self.replica_loads_by_key[key]}
 
     def _change(self, change: Change) -> None:
-        parts = dict(self.parts_by_key[change.key])
+        replica_loads = dict(self.replica_loads_by_key[change.key])
         if change.added:
-            parts[change.engine] = 0.0
+            replica_loads[change.engine] = 0.0
         else:
-            self.load_by_engine[change.engine] -= parts.pop(change.engine)
-        self.parts_by_key[change.key] = parts
+            self.load_by_engine[change.engine] -= replica_loads.pop(change.engine)
+        self.replica_loads_by_key[change.key] = replica_loads
 
-    def _settle(self, keys: list[str]) -> None:
-        for _ in range(SWEEPS):
+    def _rebalance(self, keys: list[str]) -> None:
+        for _ in range(SPREAD_ITERATIONS):
             for key in keys:
                 self._spread(key)
 
     def _spread(self, key: str) -> None:
-        """Fill the emptiest replicas first, all else as it is."""
-        parts, loads, slots = self.parts_by_key[key], self.load_by_engine, self._slots
-        others = sorted(((loads[e] - part) / slots[e], e) for e, part in parts.items())
-        level = _level(others, slots, self._load_by_key[key])
-        spread = {e: max(0.0, (level - height) * slots[e]) for height, e in others}
-        for engine, part in spread.items():
-            loads[engine] += part - parts[engine]
-        self.parts_by_key[key] = spread
-
-
-def _level(others: list[tuple[float, str]], slots: dict[str, int], work: float) -> float:
-    """Return how full per slot the replicas get that ``work`` is poured into."""
-    width, volume, level = 0, work, 0.0
-    for index, (height, engine) in enumerate(others):
-        width += slots[engine]
-        volume += height * slots[engine]
-        level = volume / width
+        """Distribute the load of group ``key``, least utilised replicas first."""
+        replica_loads, engine_loads, slots = (
+            self.replica_loads_by_key[key],
+            self.load_by_engine,
+            self._slots,
+        )
+        others = sorted(
+            ((engine_loads[e] - replica_load) / slots[e], e)
+            for e, replica_load in replica_loads.items()
+        )
+        level = _fill_level(others, slots, self._load_by_key[key])
+        spread = {e: max(0.0, (level - other_level) * slots[e]) for other_level, e in others}
+        for engine, replica_load in spread.items():
+            engine_loads[engine] += replica_load - replica_loads[engine]
+        self.replica_loads_by_key[key] = spread
+
+
+def _fill_level(others: list[tuple[float, str]], slots: dict[str, int], load: float) -> float:
+    """Return the load per slot of the replicas that get some of ``load``.
+
+    ``others`` are the engines by their load per slot from other groups, in ascending order.
+    """
+    total_slots, total_load, level = 0, load, 0.0
+    for index, (other_level, engine) in enumerate(others):
+        total_slots += slots[engine]
+        total_load += other_level * slots[engine]
+        level = total_load / total_slots
         if index + 1 < len(others) and level <= others[index + 1][0]:
             break
     return level
 
 
-def _on_time(load: float, slots: int) -> float:
-    """Return the part of ``load`` that is on time: all up to the knee, then half of it."""
-    knee, top = KNEE * slots, OVERLOAD * slots
+def _on_time_load(load: float, slots: int) -> float:
+    """Return how much of ``load`` is on time: all up to the knee, half from there to overload."""
+    knee, top = KNEE_UTILISATION * slots, OVERLOAD_UTILISATION * slots
     return min(load, knee) + (min(load, top) - knee) / 2 if load > knee else load
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/load_gate.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/load_gate.py
@@ -1,4 +1,4 @@
-"""The gate of the weight store: the plan lists a load only when it may start."""
+"""Limits loads from the weight store: the plan lists a load only when it may start."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -10,11 +10,11 @@
 from redwingscale_daemon._internal.placement.group import Group
 from redwingscale_daemon._internal.placement.plan import PlannedUnit
 
-PATIENCE_SECONDS = 120.0
+LOAD_TIMEOUT_SECONDS = 120.0
 
 
-class Wanted(NamedTuple):
-    """A load that waits: ``copy`` counts the replicas that are ahead of it."""
+class PendingLoad(NamedTuple):
+    """A load that waits; ``copy`` is how many replicas of the unit come before it."""
 
     copy: int
     is_adapter: bool
@@ -24,18 +24,18 @@
 
 
 class LoadGate:
-    """Lets loads through at the store's rate, so many at once over the deployment.
+    """Limits the rate of loads and the concurrent loads of the whole deployment.
 
-    Owners load whatever the plan lists, so the plan itself is the gate and the
-    planner's lease its lock; nothing else has to be agreed. A new planner counts
-    what the last plan let through and is not ready yet, so the bound of loads at
-    once holds over a takeover too.
+    Owners load whatever the plan lists, so the plan itself is the gate and the lease of
+    the planner its lock; instances need no further agreement. A new planner counts the
+    units of the last plan that are not ready yet, so the limit of concurrent loads
+    applies across a takeover as well.
     """
 
     def __init__(self) -> None:
         self._tokens = 1.0
         self._refilled_at: float | None = None
-        self._since: dict[tuple[str, str], float] = {}
+        self._started_at: dict[tuple[str, str], float] = {}
 
     def release(
         self,
@@ -46,19 +46,19 @@
         store: WeightStore,
         now: float,
     ) -> int:
-        """Add the loads that may start now to ``listed_by_engine``; return how many wait."""
+        """Add the loads that may start now to ``listed_by_engine``; return how many still wait."""
         self._refill(store, now)
         running = self._running(listed_by_engine, rooms_by_engine, now)
-        waiting = _waiting(listed_by_engine, target_by_engine, rooms_by_engine, load_by_key)
-        free = {e: _free(rooms_by_engine[e], listed_by_engine[e]) for e in target_by_engine}
+        waiting = _pending_loads(listed_by_engine, target_by_engine, rooms_by_engine, load_by_key)
+        free = {e: _free_bytes(rooms_by_engine[e], listed_by_engine[e]) for e in target_by_engine}
         released = 0
-        for wanted in waiting:
+        for pending in waiting:
             if running >= store.concurrent_loads or self._tokens < 1.0:
                 break
-            if wanted.planned.size_bytes > free[wanted.engine]:
+            if pending.planned.size_bytes > free[pending.engine]:
                 continue
-            listed_by_engine[wanted.engine][wanted.planned.unit] = wanted.planned
-            free[wanted.engine] -= wanted.planned.size_bytes
+            listed_by_engine[pending.engine][pending.planned.unit] = pending.planned
+            free[pending.engine] -= pending.planned.size_bytes
             self._tokens -= 1.0
             running += 1
             released += 1
@@ -70,33 +70,33 @@
         rooms_by_engine: Mapping[str, EngineRoom],
         now: float,
     ) -> int:
-        """Return how many loads are under way, those that take too long left out.
+        """Return how many loads are running, without those that exceed the timeout.
 
-        An engine that takes loads and never ends one would otherwise fill the
-        gate, and no other engine would load anything again.
+        Otherwise an engine that starts loads and never finishes them would use up the
+        limit, and no other engine would load anything again.
         """
-        since, self._since = self._since, {}
+        started_at, self._started_at = self._started_at, {}
         for engine, units in listed_by_engine.items():
             room = rooms_by_engine[engine]
             for unit in units.keys() - _ready(room) if room.is_open else ():
-                self._since[engine, unit] = since.get((engine, unit), now)
-        return sum(now - begun < PATIENCE_SECONDS for begun in self._since.values())
+                self._started_at[engine, unit] = started_at.get((engine, unit), now)
+        return sum(now - started < LOAD_TIMEOUT_SECONDS for started in self._started_at.values())
 
     def _refill(self, store: WeightStore, now: float) -> None:
         elapsed = 0.0 if self._refilled_at is None else now - self._refilled_at
         self._refilled_at = now
-        # What was saved up is one load at most; the time of this interval counts whole.
+        # At most one unused token carries over; all tokens of this interval are added.
         saved = min(self._tokens, 1.0)
         self._tokens = min(saved + elapsed * store.loads_per_second, store.concurrent_loads)
 
 
-def _waiting(
+def _pending_loads(
     listed_by_engine: Mapping[str, Mapping[str, PlannedUnit]],
     target_by_engine: Mapping[str, Mapping[str, Group]],
     rooms_by_engine: Mapping[str, EngineRoom],
     load_by_key: Mapping[str, float],
-) -> list[Wanted]:
-    """Return first replicas by demand, their adapters, second replicas, and so on."""
+) -> list[PendingLoad]:
+    """Return the loads in order: first replicas by demand, their adapters, second replicas, ..."""
     copies = Counter(unit for units in listed_by_engine.values() for unit in units)
     waiting = []
     for engine, groups in target_by_engine.items():
@@ -107,11 +107,11 @@
         for group in groups.values():
             for planned in group.units:
                 is_adapter = planned.unit != group.key
-                # An adapter needs its base: until then its load would hold a place for nothing.
+                # An adapter needs its base: until then its load would only use up the limit.
                 if planned.unit in listed or (is_adapter and group.key not in ready):
                     continue
                 load = load_by_key.get(group.key, 0.0)
-                waiting.append(Wanted(copies[planned.unit], is_adapter, load, engine, planned))
+                waiting.append(PendingLoad(copies[planned.unit], is_adapter, load, engine, planned))
                 copies[planned.unit] += 1
     return sorted(waiting, key=lambda w: (w.copy, w.is_adapter, -w.load, w.planned, w.engine))
 
@@ -120,8 +120,8 @@
     return {r.unit for r in room.residents if r.ready}
 
 
-def _free(room: EngineRoom, listed: Mapping[str, PlannedUnit]) -> int:
-    """Return the memory beside all that is resident and all that is let through."""
+def _free_bytes(room: EngineRoom, listed: Mapping[str, PlannedUnit]) -> int:
+    """Return the memory that neither residents nor listed units use."""
     sizes = {r.unit: r.size_bytes for r in room.residents}
     sizes |= {unit: planned.size_bytes for unit, planned in listed.items()}
     return room.capacity_bytes - sum(sizes.values())
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/owner.py
@@ -1,4 +1,4 @@
-"""The owner of an engine: polls it, publishes its digest, sends it orders."""
+"""The owner of an engine: polls it, publishes its digest and sends orders to it."""
 
 import threading
 import uuid
@@ -17,7 +17,7 @@
 from redwingscale_daemon._internal.placement import choice
 from redwingscale_daemon._internal.placement.backoff import Backoff
 from redwingscale_daemon._internal.placement.choice import Situation
-from redwingscale_daemon._internal.placement.digest_news import DigestNews
+from redwingscale_daemon._internal.placement.digest_filter import DigestFilter
 from redwingscale_daemon._internal.placement.open_order import Outcome
 from redwingscale_daemon._internal.placement.order_sender import OrderSender
 from redwingscale_daemon._internal.placement.owner_parts import OwnerParts
@@ -26,15 +26,17 @@
 from redwingscale_daemon._internal.placement.retirements import Retirements
 from redwingscale_daemon._internal.upstreams.directory import TOPIC
 
-SILENT_POLLS = 3
-# An order that the engine's reports do not show for so long is lost, or late: a higher
-# fence makes sure that it is dead.
-UNSEEN_SECONDS = 2.0
-REPLACEMENT_PATIENCE_SECONDS = 30.0
+MAX_FAILED_POLLS = 3
+# An order that is missing in the engine's reports for this long is lost or late; the
+# fence is raised so that it can no longer take effect.
+UNREPORTED_ORDER_SECONDS = 2.0
+# Once memory for planned units has been short for this long, a unit may be unloaded
+# without a ready replacement, see `Replacements.may_unload_without_replacement`.
+REPLACEMENT_TIMEOUT_SECONDS = 30.0
 
 
 class EngineOwner:
-    """Work on one engine; everything runs on the thread that calls `step`."""
+    """Controls one engine; all calls to it run on the thread that calls `step`."""
 
     def __init__(self, engine: str, parts: OwnerParts) -> None:
         self._lock = threading.Lock()
@@ -44,35 +46,35 @@
         self._retirements = Retirements(engine, parts.acks, parts.clock)
         self._replacements = Replacements(parts.directory)
         self._backoff = Backoff(parts.clock)
-        self._news = DigestNews(parts.clock)
+        self._digest_filter = DigestFilter(parts.clock)
         self._failed_polls = 0
         self._blocked_since: float | None = None
 
     def step(self, engine: EngineMember, grant: Grant) -> None:
-        """Poll ``engine`` once, tell everyone, and order what is due.
+        """Poll ``engine``, publish its digest, and send the orders that are due.
 
-        With a ``grant`` past its lease it goes on reading and publishing.
+        With a ``grant`` whose lease has lapsed, it still polls and publishes.
         """
         with self._lock:
             if self._is_superseded(grant):
                 return
-            # Once more at once, if the fence had to be raised: what a report from before
-            # it does not show may still have been started by an earlier holder.
-            if not self._work(engine, grant):
-                self._work(engine, grant)
+            # Repeated at once if the fence was raised: the report from before may lack an
+            # order that an earlier owner sent meanwhile.
+            if not self._poll_and_order(engine, grant):
+                self._poll_and_order(engine, grant)
 
     @property
     def is_busy(self) -> bool:
-        """Whether the engine is to be polled soon again: an order or a drain is under way."""
+        """Whether an order or a drain is in progress, so that the engine is polled more often."""
         return bool(self._sender.ledger.open_orders() or self._retirements.units)
 
     def close(self) -> None:
-        """Wait for a step that runs."""
+        """Wait until a running step has ended."""
         with self._lock:
             return
 
-    def _work(self, engine: EngineMember, grant: Grant) -> bool:
-        """Poll, publish and order; return False when a fresh report is needed."""
+    def _poll_and_order(self, engine: EngineMember, grant: Grant) -> bool:
+        """Poll, publish and send orders; return False if a new report is needed at once."""
         polled_at = self._parts.clock()
         report = self._poll(engine, grant)
         if report is None:
@@ -89,7 +91,7 @@
     def _may_order(self, engine: EngineMember, grant: Grant, report: Report) -> bool:
         if report.leaving or engine.leaving:
             return False
-        # An engine with fencing is safe with any holder, also while the table is down.
+        # An engine with fencing rejects stale orders itself, also while the table is down.
         return engine.checks_fencing or self._parts.ownership.grant_of(self._engine) == grant
 
     def _poll(self, engine: EngineMember, grant: Grant) -> Report | None:
@@ -103,24 +105,24 @@
         except UpstreamError as error:
             log_event("report_failed", level="WARNING", upstream=engine.id, error=error)
             self._failed_polls += 1
-            if self._failed_polls >= SILENT_POLLS:
+            if self._failed_polls >= MAX_FAILED_POLLS:
                 self._set_aside(grant)
             return None
         self._failed_polls = 0
         return report
 
     def _set_aside(self, grant: Grant) -> None:
-        """Stop new routing to the engine until its next sound report."""
+        """Stop routing new requests to the engine until its next valid report."""
         view = self._parts.directory.engines().get(self._engine)
         digest = view.digest if view else None
         if digest is None or (digest.set_aside and digest.fence == grant.fence):
             return
         log_event("upstream_set_aside", level="WARNING", upstream=self._engine)
-        aside = digest._replace(fence=grant.fence, set_aside=True)
-        # Told through the news as well: the first sound report after it differs from
-        # it, so the engine is back at once and not only with the next refresh.
-        self._news.take(aside)
-        self._parts.gossip.publish(TOPIC, self._engine, aside)
+        set_aside_digest = digest._replace(fence=grant.fence, set_aside=True)
+        # Recorded in the filter as well: the next valid report differs from it, so it is
+        # published at once and not only with the next refresh.
+        self._digest_filter.admit(set_aside_digest)
+        self._parts.gossip.publish(TOPIC, self._engine, set_aside_digest)
 
     def _publish(self, grant: Grant, report: Report) -> None:
         digest = Digest(
@@ -135,7 +137,7 @@
             retiring=self._retirements.units,
             retirement=self._retirements.number,
         )
-        if self._news.take(digest):
+        if self._digest_filter.admit(digest):
             self._parts.gossip.publish(TOPIC, self._engine, digest)
 
     def _order(self, engine: EngineMember, grant: Grant, report: Report, polled_at: float) -> bool:
@@ -173,9 +175,9 @@
             self._backoff.note(order.unit, failed=outcome is Outcome.FAILED)
 
     def _is_unsafe(self, engine: EngineMember, grant: Grant, report: Report) -> bool:
-        """Return whether no order may go out by this report."""
-        if engine.checks_fencing and self._has_unseen(report):
-            # Only a held grant can be replaced; past its lease the orders stay reserved.
+        """Return whether no order may be sent on the basis of ``report``."""
+        if engine.checks_fencing and self._has_unreported_order(report):
+            # Possible only within the lease; after it, the orders stay in the ledger.
             self._parts.ownership.raise_fence(self._engine)
             return True
         return engine.checks_fencing and report.fence > grant.fence
@@ -188,10 +190,10 @@
             return False
         return True
 
-    def _has_unseen(self, report: Report) -> bool:
+    def _has_unreported_order(self, report: Report) -> bool:
         now = self._parts.clock()
         return any(
-            o.order.order_id not in report.orders and now - o.sent_by > UNSEEN_SECONDS
+            o.order.order_id not in report.orders and now - o.sent_by > UNREPORTED_ORDER_SECONDS
             for o in self._sender.ledger.open_orders()
         )
 
@@ -205,20 +207,24 @@
         return Situation(report, self._sender.ledger, planned, limit)
 
     def _to_retire(self, situation: Situation, plan: Plan) -> set[str]:
-        unplanned = [r.unit for r in choice.unplanned(situation)]
+        unplanned = [r.unit for r in choice.unplanned_units(situation)]
         replaced = {u for u in unplanned if self._replacements.are_ready(u, plan)}
         waiting = set(unplanned) - replaced
         engine = self._engine
-        if not waiting or not choice.is_short(situation):
+        if not waiting or not choice.is_short_of_memory(situation):
             self._blocked_since = None
             return replaced | situation.ledger.unloading()
         now = self._parts.clock()
         self._blocked_since = now if self._blocked_since is None else self._blocked_since
-        if now - self._blocked_since > REPLACEMENT_PATIENCE_SECONDS:
-            # What the plan wants here cannot come before something goes. The last copy
-            # of a model that is to move elsewhere stays: a plan that is stuck costs
-            # attainment, a listed model that answers nowhere breaks a promise.
-            spare = {u for u in waiting if self._replacements.may_go_unreplaced(u, engine, plan)}
+        if now - self._blocked_since > REPLACEMENT_TIMEOUT_SECONDS:
+            # The planned units cannot be loaded before another unit is unloaded. The last
+            # copy of a model that moves to another engine stays: a blocked plan only costs
+            # attainment, but a listed model must always be ready somewhere.
+            spare = {
+                u
+                for u in waiting
+                if self._replacements.may_unload_without_replacement(u, engine, plan)
+            }
             log_event(
                 "retiring_blocked",
                 level="WARNING",
@@ -230,12 +236,12 @@
         return replaced | situation.ledger.unloading()
 
     def _orders(self, situation: Situation, grant: Grant) -> list[Order]:
-        leaving = choice.unloads(situation, self._retirements.drained())
-        coming = choice.loads(situation, self._retirements.units)
-        unloads = [_new_order(False, r.unit, r.size_bytes, grant) for r in leaving]
+        to_unload = choice.units_to_unload(situation, self._retirements.drained())
+        to_load = choice.units_to_load(situation, self._retirements.units)
+        unloads = [_new_order(False, r.unit, r.size_bytes, grant) for r in to_unload]
         loads = [
             _new_order(True, p.unit, p.size_bytes, grant)
-            for p in coming
+            for p in to_load
             if self._backoff.is_over(p.unit)
         ]
         return unloads + loads
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_maker.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/plan_maker.py
@@ -1,4 +1,4 @@
-"""Makes the next plan out of the last one; talks to nobody."""
+"""Computes the next plan from the last one, without access to the network."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,7 +10,7 @@
 from redwingscale_daemon._internal.placement.assign import assign
 from redwingscale_daemon._internal.placement.engine_room import EngineRoom
 from redwingscale_daemon._internal.placement.group import Group, all_groups, serving_keys
-from redwingscale_daemon._internal.placement.growth import Step, Worth, follow_demand
+from redwingscale_daemon._internal.placement.growth import MoveWorth, Step, follow_demand
 from redwingscale_daemon._internal.placement.hand_over import HandOver, Target
 from redwingscale_daemon._internal.placement.load_gate import LoadGate
 from redwingscale_daemon._internal.placement.model_number import model_number
@@ -19,7 +19,7 @@
 
 
 class PlanMaker:
-    """Keeps the gate's rate and the smoothed service time from plan to plan."""
+    """Makes plans; keeps the state of the load gate and the smoothed service time."""
 
     def __init__(self) -> None:
         self._gate = LoadGate()
@@ -36,8 +36,8 @@
     ) -> Plan:
         """Return the plan that follows ``old``; ``now`` is on the monotonic clock.
 
-        ``rates_by_number`` has requests a second by `model_number`. Engines
-        without a room are not in the plan.
+        ``rates_by_number`` has requests per second by `model_number`. Engines that are not
+        in ``rooms_by_engine`` are not in the plan.
         """
         configuration = accepted.configuration
         groups_by_key = all_groups(configuration)
@@ -60,7 +60,9 @@
     ) -> Target:
         serving = {key: groups_by_key[key] for key in sorted(serving_keys(configuration))}
         layout, findings = assign(serving, rooms_by_engine, old.target_by_engine, load_by_key)
-        worth = Worth.of(configuration.policy.moves_weight, self.service_time.seconds)
+        worth = MoveWorth.from_moves_weight(
+            configuration.policy.moves_weight, self.service_time.seconds
+        )
         steps = follow_demand(layout, serving, load_by_key, worth)
         self._log(steps, findings)
         return layout.groups_by_engine
@@ -68,7 +70,7 @@
     def _load_by_key(
         self, configuration: Configuration, rates_by_number: Mapping[int, float]
     ) -> dict[str, float]:
-        """Return requests at once by serving version: rate times service time."""
+        """Return concurrent requests by serving version: rate times service time."""
         seconds = self.service_time.seconds
         return {
             f"{model.name}@{model.serving}": rates_by_number.get(model_number(model.name), 0.0)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/planner.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/placement/planner.py
@@ -1,4 +1,4 @@
-"""The planner: one instance among all makes the plan."""
+"""The planner: the instance that holds its lease makes the plan."""
 
 import time
 from collections.abc import Iterable
@@ -20,7 +20,7 @@
 
 
 class Planner:
-    """Goes on from the last plan to the next one, if this instance holds the lease."""
+    """Makes and stores the next plan while this instance holds the planner's lease."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self._maker = PlanMaker()
 
     def step(self) -> None:
-        """Plan once, if this instance holds the planner's lease."""
+        """Make a plan if this instance holds or can take the planner's lease."""
         if self._ownership.try_acquire(LEASE_NAME) is None:
             return
         try:
@@ -57,10 +57,10 @@
         if not rooms or (old is EMPTY_PLAN and self._watch.is_settling(views, now)):
             return
         rates = self._demand.rates_by_number()
-        self._learn_service_time(views.values(), sum(rates.values()))
+        self._update_service_time(views.values(), sum(rates.values()))
         plan = self._maker.next_plan(old, accepted, rooms, rates, now)
-        # An engine that leaves or is lost keeps its lines until the list drops it:
-        # what runs there ends undisturbed, and if it comes back it need not reload.
+        # An engine that is leaving or lost keeps its planned units until it is no longer
+        # listed: its requests can finish, and it need not reload if it returns.
         absent = old.units_by_engine.keys() & (views.keys() - rooms.keys())
         plan.units_by_engine.update({e: old.units_by_engine[e] for e in absent})
         if old._replace(sequence=plan.sequence) == plan:
@@ -68,7 +68,7 @@
         if self._store.write(plan):
             log_event("plan_written", sequence=plan.sequence, engines=len(plan.units_by_engine))
 
-    def _learn_service_time(self, views: Iterable[EngineView], rate: float) -> None:
+    def _update_service_time(self, views: Iterable[EngineView], rate: float) -> None:
         digests = [view.digest for view in views if view.digest is not None]
         running = sum(digest.running for digest in digests)
         self._maker.service_time.update(running, sum(d.slots for d in digests), rate)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/plain.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/plain.py
@@ -1,4 +1,4 @@
-"""Carries a call to a plain service and its whole answer back."""
+"""Relays calls to plain services."""
 
 import time
 import uuid
@@ -26,14 +26,14 @@
 
 RETRY_AFTER_NO_UPSTREAM_SECONDS = 1.0
 RETRY_AFTER_FAILURE_SECONDS = 1.0
-MOST_ATTEMPTS = 3
-# How long a claimed call may go on past its caller's deadline, so that its
-# outcome is known to a repeat.
-FINISH_SECONDS = 60.0
+MAX_ATTEMPTS = 3
+# How long a claimed call may run past its caller's deadline, so that a repeat can get
+# its outcome.
+CLAIMED_GRACE_SECONDS = 60.0
 
 
 class PlainRequest(NamedTuple):
-    """A checked call; ``deadline_at`` is on the monotonic clock."""
+    """A validated call; ``deadline_at`` is on the monotonic clock."""
 
     request_id: str
     caller: str
@@ -48,7 +48,7 @@
 
 
 class PlainRelay:
-    """Runs one call; what may not run twice is sent once."""
+    """Relays calls; one that must not run twice is not sent again once it may have run."""
 
     def __init__(
         self,
@@ -71,12 +71,12 @@
         self._metrics = metrics
 
     def run(self, request: PlainRequest, span: Span) -> PlainAnswer:
-        """Return the whole answer; raise `Refusal`."""
+        """Return the complete answer; raises `Refusal`."""
         if request.idempotent or not request.idempotency_key:
             return self._send(request, span, grace_seconds=0.0)
-        # Without an upstream no claim is made: it would only be released again.
+        # Without an upstream no claim is made, as it would be released at once.
         if self._choose(request, []) is None:
-            raise _no_upstream(request)
+            raise _no_upstream_refusal(request)
         key = ClaimKey(request.caller, request.service, request.idempotency_key)
         fingerprint = request_fingerprint(request.method, request.path, request.body)
         answer = self._once.call(
@@ -85,10 +85,10 @@
         return PlainAnswer(*answer)
 
     def _answer(self, request: PlainRequest, span: Span) -> Answer:
-        return Answer(*self._send(request, span, grace_seconds=FINISH_SECONDS))
+        return Answer(*self._send(request, span, grace_seconds=CLAIMED_GRACE_SECONDS))
 
     def _send(self, request: PlainRequest, span: Span, *, grace_seconds: float) -> PlainAnswer:
-        """Send to one upstream after another for as long as the request allows it."""
+        """Send to one upstream after another until one answers or no retry is allowed."""
         failures: list[UpstreamError] = []
         while (member := self._next_member(request, failures)) is not None:
             try:
@@ -96,19 +96,19 @@
             except UpstreamError as error:
                 failures.append(error)
                 continue
-            self._budget.succeeded()
+            self._budget.note_success()
             return answer
-        raise _failed(request, failures) if failures else _no_upstream(request)
+        raise _failure_refusal(request, failures) if failures else _no_upstream_refusal(request)
 
     def _next_member(
         self, request: PlainRequest, failures: list[UpstreamError]
     ) -> PlainMember | None:
-        repeatable = request.idempotent or _run_state(failures) is RunState.NOT_RUN
+        repeatable = request.idempotent or _combined_run_state(failures) is RunState.NOT_RUN
         late = bool(failures) and time.monotonic() >= request.deadline_at
-        if not repeatable or late or len(failures) >= MOST_ATTEMPTS:
+        if not repeatable or late or len(failures) >= MAX_ATTEMPTS:
             return None
         member = self._choose(request, failures)
-        # Taken last: what cannot be tried again must not use the budget up.
+        # The budget is taken last: a call that cannot be retried must not use it up.
         if member is None or (failures and not self._budget.take()):
             return None
         return member
@@ -122,7 +122,7 @@
     ) -> PlainAnswer:
         remaining = request.deadline_at - time.monotonic() + grace_seconds
         with (
-            self._in_flight.at(member.id),
+            self._in_flight.track(member.id),
             self._tracing.hop_span("attempt", span, upstream=member.id) as hop,
         ):
             self._metrics.attempts.add(1, {"upstream": member.id})
@@ -136,15 +136,15 @@
             return self._client.call(member, call, remaining)
 
 
-def _run_state(failures: list[UpstreamError]) -> RunState:
-    """Return what is certain after all of ``failures``."""
+def _combined_run_state(failures: list[UpstreamError]) -> RunState:
+    """Return NOT_RUN if no failed attempt can have run the call, else UNKNOWN."""
     certain = all(error.run is RunState.NOT_RUN for error in failures)
     return RunState.NOT_RUN if certain else RunState.UNKNOWN
 
 
-def _failed(request: PlainRequest, failures: list[UpstreamError]) -> Refusal:
-    run = _run_state(failures)
-    # To come back with a call that may have run would run it twice.
+def _failure_refusal(request: PlainRequest, failures: list[UpstreamError]) -> Refusal:
+    run = _combined_run_state(failures)
+    # If the call may have run, a caller that retries could run it twice.
     repeatable = request.idempotent or run is RunState.NOT_RUN
     return Refusal(
         503,
@@ -155,7 +155,7 @@
     )
 
 
-def _no_upstream(request: PlainRequest) -> Refusal:
+def _no_upstream_refusal(request: PlainRequest) -> Refusal:
     return Refusal(
         503,
         "no_upstream",
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/retry_budget.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/retry_budget.py
@@ -1,30 +1,31 @@
-"""How many attempts beyond the first an instance may make."""
+"""Bounds the retries of an instance."""
 
 import threading
 
 RETRIES_PER_SUCCESS = 0.1
-MOST_RETRIES = 100.0
+MAX_RETRIES = 100.0
 INITIAL_RETRIES = 10.0
 
 
 class RetryBudget:
-    """A token bucket that successes fill.
+    """A token bucket that is refilled by successful requests.
 
-    When every upstream fails nothing fills it, and the retries end: without it
-    each failing upstream would meet a multiple of the load that made it fail.
+    Guards against retry storms: when every upstream fails, the bucket runs empty and
+    retries stop. Otherwise the upstreams would receive a multiple of the load under
+    which they fail.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._retries = INITIAL_RETRIES
 
-    def succeeded(self) -> None:
-        """Count a whole answer."""
+    def note_success(self) -> None:
+        """Count a complete answer."""
         with self._lock:
-            self._retries = min(MOST_RETRIES, self._retries + RETRIES_PER_SUCCESS)
+            self._retries = min(MAX_RETRIES, self._retries + RETRIES_PER_SUCCESS)
 
     def take(self) -> bool:
-        """Return whether one more attempt may be made, and count it."""
+        """Count one more retry if it is allowed; return whether it is."""
         with self._lock:
             if self._retries < 1.0:
                 return False
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/relay/run.py
@@ -1,4 +1,4 @@
-"""One generation request, from its first attempt to its last token."""
+"""Runs one generation request, from its first attempt to its last token."""
 
 import time
 import uuid
@@ -30,26 +30,27 @@
 from redwingscale_daemon._internal.relay.progress import Progress
 from redwingscale_daemon._internal.relay.run_parts import RunParts
 from redwingscale_daemon._internal.telemetry.tracing import trace_headers
-from redwingscale_daemon._internal.upstreams.engine_client import is_refused
+from redwingscale_daemon._internal.upstreams.engine_client import is_connection_refused
 from redwingscale_daemon._internal.upstreams.engine_stream import EngineStream
 from redwingscale_daemon._internal.upstreams.probe import Probe
 
 Events = Generator[StreamEvent, None, None]
 
 RETRY_AFTER_SECONDS = 1.0
-MOST_ATTEMPTS = 8
-MOST_RESUMES = 32
-MOST_STALLED_RESUMES = 3
-LOSSES_WITHOUT_BUDGET = 2
-PAUSE_SECONDS = 0.05
-FIRST_PRIORITY = 0
+MAX_ATTEMPTS = 8
+MAX_RESUMES = 32
+MAX_STALLED_RESUMES = 3
+MAX_LOST_ENGINES_WITHOUT_BUDGET = 2
+RETRY_PAUSE_SECONDS = 0.05
+TURN_PRIORITY = 0
 ENGINE_POLL_SECONDS = 0.1
-TOKENS_BETWEEN_TIMEOUTS = 16
+TOKENS_PER_TIMEOUT_UPDATE = 16
+# Weight of the latest gap between tokens in the moving mean.
 GAP_WEIGHT = 0.2
 
 
 class GenerationRun:
-    """Makes attempts until the answer is whole; used by one thread at a time."""
+    """Makes attempts until the answer is complete; used by one thread at a time."""
 
     def __init__(self, request: GenerationRequest, span: Span, parts: RunParts) -> None:
         self._request = request
@@ -57,7 +58,7 @@
         self._parts = parts
         self._progress = Progress()
         self._attempts = 0
-        self._losses = 0
+        self._lost_engines = 0
         self._unit = request.unit
         self._failed: set[str] = set()
         self._state = RunState.NOT_RUN
@@ -65,35 +66,35 @@
         self._unit = request.unit
 
     def events(self) -> Events:
-        """Yield the whole answer; raise `Refusal` when nothing can continue it."""
+        """Yield the complete answer; raises `Refusal` when no engine can continue it."""
         self._parts.quarantine.check(self._request.fingerprint)
         while True:
-            engine = self._enter_engine()
+            engine = self._acquire_engine()
             try:
                 yield from self._attempt(engine)
             except UpstreamError as error:
-                self._after_failure(engine, error)
+                self._handle_failure(engine, error)
             else:
-                self._parts.budget.succeeded()
+                self._parts.budget.note_success()
                 self._parts.metrics.tokens.add(self._progress.position)
                 return
             finally:
-                self._leave_turn()
+                self._release_turn()
 
-    def _enter_engine(self) -> EngineMember:
-        """Return the engine of the next attempt; a suspect has its turn there."""
+    def _acquire_engine(self) -> EngineMember:
+        """Return the engine of the next attempt; a suspect first waits for its turn there."""
         request, parts = self._request, self._parts
         while True:
             engine = self._choose_engine()
-            self._turn = parts.quarantine.enter(
+            self._turn = parts.quarantine.wait_for_turn(
                 request.fingerprint, engine.id, self._progress.position, request.deadline_at
             )
-            if self._turn is None or engine.id not in parts.reachability.shunned():
+            if self._turn is None or engine.id not in parts.reachability.unreachable():
                 return engine
-            # It died while the turn was awaited.
-            self._leave_turn()
+            # The engine failed during the wait for the turn.
+            self._release_turn()
 
-    def _leave_turn(self) -> None:
+    def _release_turn(self) -> None:
         turn, self._turn = self._turn, None
         if turn is not None:
             self._parts.quarantine.release(turn)
@@ -104,26 +105,26 @@
             self._parts.quarantine.clear(turn)
 
     def _choose_engine(self) -> EngineMember:
-        engine = self._candidate()
-        # A cut answer cannot be asked for again where it broke off, so one that
-        # has begun waits for an engine; one that has not is refused at once.
-        while engine is None and self._progress.position and not self._is_late():
+        engine = self._choose_untried_first()
+        # A caller cannot request the rest of a cut answer, so an answer that has begun
+        # waits for an engine. One that has not begun is refused at once.
+        while engine is None and self._progress.position and not self._is_past_deadline():
             time.sleep(ENGINE_POLL_SECONDS)
-            engine = self._candidate()
+            engine = self._choose_untried_first()
         if engine is None:
-            raise self._refusal("not_resident", f"no engine can run {self._request.unit} now")
+            raise self._new_refusal("not_resident", f"no engine can run {self._request.unit} now")
         return engine
 
-    def _candidate(self) -> EngineMember | None:
-        """Return the best engine; those that failed this request come last."""
-        shunned = self._parts.reachability.shunned()
-        engine = self._routed(self._failed | shunned)
-        return engine or (self._routed(shunned) if self._failed else None)
+    def _choose_untried_first(self) -> EngineMember | None:
+        """Return the best engine; prefer those that have not failed this request."""
+        shunned = self._parts.reachability.unreachable()
+        engine = self._route(self._failed | shunned)
+        return engine or (self._route(shunned) if self._failed else None)
 
-    def _routed(self, excluded: set[str]) -> EngineMember | None:
+    def _route(self, excluded: set[str]) -> EngineMember | None:
         router, request = self._parts.router, self._request
         if self._progress.position:
-            # Only the version that began an answer can continue it.
+            # Only the model version that began an answer can continue it.
             view = router.choose_engine(str(self._unit), excluded)
             return view.member if view else None
         route = router.route(request.unit, request.prompt, excluded)
@@ -137,29 +138,31 @@
         attempt = self._new_attempt()
         self._attempts += 1
         with (
-            parts.in_flight.at(engine.id, str(self._unit)),
+            parts.in_flight.track(engine.id, str(self._unit)),
             parts.tracing.hop_span("attempt", self._span, upstream=engine.id) as hop,
         ):
             parts.metrics.attempts.add(1, {"upstream": engine.id})
             try:
-                yield from self._resumed(engine, attempt, trace_headers(hop))
+                yield from self._attempt_with_resumes(engine, attempt, trace_headers(hop))
             except GeneratorExit:
                 self._cancel(engine, attempt)
                 raise
 
-    def _resumed(self, engine: EngineMember, attempt: Attempt, headers: dict[str, str]) -> Events:
-        """Yield the answer of one attempt over as many connections as it takes."""
+    def _attempt_with_resumes(
+        self, engine: EngineMember, attempt: Attempt, headers: dict[str, str]
+    ) -> Events:
+        """Yield the events of one attempt, and resume it on new connections when one breaks."""
         connect: Callable[[], EngineStream] = partial(self._start, engine, attempt, headers)
         stalled = 0
-        for _ in range(MOST_RESUMES):
+        for _ in range(MAX_RESUMES):
             before = self._progress.position
             try:
-                yield from self._follow(connect())
+                yield from self._relay_stream(connect())
                 return
             except StreamBroken as broken:
                 error = broken
             except AttemptUnknown as unknown:
-                raise self._death_or(unknown, engine) from unknown
+                raise self._classify_unknown_attempt(unknown, engine) from unknown
             stalled = 0 if self._progress.position > before else stalled + 1
             self._check_resume(engine, error, stalled)
             connect = partial(self._resume, engine, attempt.attempt_id, headers)
@@ -168,19 +171,19 @@
     def _start(
         self, engine: EngineMember, attempt: Attempt, headers: dict[str, str]
     ) -> EngineStream:
-        return self._parts.client.start(engine, attempt, headers, self._first_token_wait())
+        return self._parts.client.start(engine, attempt, headers, self._first_token_timeout())
 
     def _resume(
         self, engine: EngineMember, attempt_id: str, headers: dict[str, str]
     ) -> EngineStream:
         position = self._progress.position
-        wait = self._parts.silence.most if position else self._first_token_wait()
+        wait = self._parts.silence.max_seconds if position else self._first_token_timeout()
         return self._parts.client.resume(engine, attempt_id, position, headers, wait)
 
-    def _follow(self, stream: EngineStream) -> Events:
-        """Yield what comes over one connection, with the silence bound kept up to date."""
+    def _relay_stream(self, stream: EngineStream) -> Events:
+        """Yield the events of one connection, and adapt its timeout to the gap between tokens."""
         progress, silence = self._progress, self._parts.silence
-        gap, untimed, last = 0.0, 1, 0.0
+        mean_gap, until_update, last_at = 0.0, 1, 0.0
         clear_at = self._turn.clear_at if self._turn else -1
         for event in stream.events(progress.position):
             if isinstance(event, EndEvent):
@@ -190,18 +193,24 @@
             progress.texts.append(event.text)
             progress.position += 1
             now = time.monotonic()
-            gap += GAP_WEIGHT * (now - last - gap) if last else 0.0
-            last = now
-            untimed -= 1
-            if not untimed:
-                untimed = TOKENS_BETWEEN_TIMEOUTS
-                stream.set_timeout(silence.between_tokens(gap) if gap else silence.most)
+            mean_gap += GAP_WEIGHT * (now - last_at - mean_gap) if last_at else 0.0
+            last_at = now
+            until_update -= 1
+            if not until_update:
+                until_update = TOKENS_PER_TIMEOUT_UPDATE
+                stream.set_timeout(
+                    silence.token_timeout(mean_gap) if mean_gap else silence.max_seconds
+                )
             if progress.position == clear_at:
                 self._clear_turn()
             yield event
 
     def _check_resume(self, engine: EngineMember, error: StreamBroken, stalled: int) -> None:
-        """Raise unless the attempt may be resumed on a new connection to ``engine``."""
+        """Raise unless the attempt may be resumed on a new connection to ``engine``.
+
+        A resume is taken from the retry budget only if the connection delivered no token
+        and did not end by going silent.
+        """
         parts = self._parts
         log_event(
             "stream_broken",
@@ -211,7 +220,7 @@
             position=self._progress.position,
             error=error,
         )
-        if self._is_late() or stalled > MOST_STALLED_RESUMES:
+        if self._is_past_deadline() or stalled > MAX_STALLED_RESUMES:
             raise error
         silent = isinstance(error, StreamSilent)
         if stalled or silent:
@@ -219,22 +228,24 @@
         if stalled and not silent:
             if not parts.budget.take():
                 raise error
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(RETRY_PAUSE_SECONDS)
         parts.metrics.resumes.add(1, {"upstream": engine.id})
 
     def _probe(self, engine: EngineMember, error: StreamBroken) -> None:
-        """Raise when a new connection shows that the engine is dead or out of reach."""
+        """Raise if a new connection shows that the engine has crashed or is unreachable."""
         match self._parts.client.probe(engine):
             case Probe.REFUSED:
                 raise UpstreamCrashed(engine.id, error.detail, run=RunState.UNKNOWN)
             case Probe.NO_ANSWER:
                 raise UpstreamUnreachable(engine.id, error.detail, run=RunState.UNKNOWN)
 
-    def _death_or(self, error: AttemptUnknown, engine: EngineMember) -> UpstreamError:
-        """Return the death of an engine that was started anew, else ``error``.
+    def _classify_unknown_attempt(
+        self, error: AttemptUnknown, engine: EngineMember
+    ) -> UpstreamError:
+        """Return `UpstreamCrashed` if the engine has restarted, else ``error``.
 
-        An engine that merely never heard of the attempt still holds its models;
-        one that has just started holds none yet.
+        In an engine that merely did not receive the attempt, the model is still
+        resident; one that has just started has no resident model yet.
         """
         try:
             residents = self._parts.control.report(engine).residents
@@ -244,17 +255,17 @@
             return error
         return UpstreamCrashed(engine.id, "was started anew", run=RunState.UNKNOWN)
 
-    def _after_failure(self, engine: EngineMember, error: UpstreamError) -> None:
-        """Return when another attempt may be made, else raise the final `Refusal`."""
+    def _handle_failure(self, engine: EngineMember, error: UpstreamError) -> None:
+        """Record a failed attempt; raises the final `Refusal` if no retry is allowed."""
         self._failed.add(engine.id)
         if error.run is not RunState.NOT_RUN:
             self._state = error.run
-        if isinstance(error, UpstreamCrashed | UpstreamUnreachable) or is_refused(error):
-            self._parts.reachability.failed(engine.id)
+        if isinstance(error, UpstreamCrashed | UpstreamUnreachable) or is_connection_refused(error):
+            self._parts.reachability.note_unreachable(engine.id)
         if isinstance(error, UpstreamCrashed):
             turn, self._turn = self._turn, None
-            self._parts.quarantine.engine_died(self._request.fingerprint, engine.id, turn)
-        again = self._may_go_on(error)
+            self._parts.quarantine.note_crash(self._request.fingerprint, engine.id, turn)
+        again = self._may_retry(error)
         log_event(
             "attempt_failed",
             level="WARNING",
@@ -265,22 +276,22 @@
             error=error,
         )
         if not again:
-            raise self._refusal("upstream_failed", str(error)) from error
+            raise self._new_refusal("upstream_failed", str(error)) from error
         self._parts.metrics.retries.add(1)
 
-    def _may_go_on(self, error: UpstreamError) -> bool:
+    def _may_retry(self, error: UpstreamError) -> bool:
         if self._state is not RunState.NOT_RUN and not self._request.idempotent:
             return False
-        if self._is_late() or self._attempts >= MOST_ATTEMPTS:
+        if self._is_past_deadline() or self._attempts >= MAX_ATTEMPTS:
             return False
-        # The loss of one engine breaks many answers at once that had been going well;
-        # each may continue. It cannot make a storm: a lost engine is met once.
+        # The loss of one engine breaks many healthy answers at once, and each may
+        # continue. This cannot cause a retry storm: a request meets a lost engine once.
         lost = isinstance(error, UpstreamCrashed | UpstreamUnreachable)
-        if lost and self._losses < LOSSES_WITHOUT_BUDGET:
-            self._losses += 1
+        if lost and self._lost_engines < MAX_LOST_ENGINES_WITHOUT_BUDGET:
+            self._lost_engines += 1
             return True
         if self._progress.position and error.run is RunState.NOT_RUN:
-            time.sleep(PAUSE_SECONDS * self._attempts)
+            time.sleep(RETRY_PAUSE_SECONDS * self._attempts)
             return True
         return self._parts.budget.take()
 
@@ -297,17 +308,17 @@
             unit=str(self._unit),
             prompt=request.prompt,
             max_tokens=request.max_tokens,
-            # A turn holds up other suspects, so it does not queue behind everything else.
-            priority=FIRST_PRIORITY if self._turn else request.priority,
+            # A turn delays other suspects, so it does not queue behind other requests.
+            priority=TURN_PRIORITY if self._turn else request.priority,
             skip=progress.position,
             delivered=progress.delivered,
         )
 
-    def _first_token_wait(self) -> float:
-        return self._parts.silence.first_token(self._request.deadline_at)
+    def _first_token_timeout(self) -> float:
+        return self._parts.silence.first_token_timeout(self._request.deadline_at)
 
-    def _is_late(self) -> bool:
+    def _is_past_deadline(self) -> bool:
         return time.monotonic() >= self._request.deadline_at
 
-    def _refusal(self, code: str, detail: str) -> Refusal:
+    def _new_refusal(self, code: str, detail: str) -> Refusal:
         return Refusal(503, code, detail, run=self._state, retry_after_seconds=RETRY_AFTER_SECONDS)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/router.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/routing/router.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream of an attempt."""
+"""Chooses the upstream for each attempt."""
 
 import itertools
 import random
@@ -29,21 +29,21 @@
 CHOICES = 2
 
 
-class Demand(NamedTuple):
-    """What routing needs of the deployment's text, and whom it tells of arrivals."""
+class ModelHooks(NamedTuple):
+    """Functions of a model's name: its versions in the configuration, and a count of requests."""
 
     listed_versions: Callable[[str], Iterable[str]]
-    arrived: Callable[[str], None]
+    note_arrival: Callable[[str], None]
 
 
-NO_DEMAND = Demand(lambda model: (), lambda model: None)
+NO_HOOKS = ModelHooks(lambda model: (), lambda model: None)
 
 
 class Router:
     """Routes by its policy among the engines where a unit is ready.
 
-    Engines that leave or are stale are never chosen. What a request costs here
-    grows with the replicas of its model, not with the engines of the deployment.
+    Engines that are leaving or stale are never chosen. The cost of a request grows with
+    the replicas of its model, not with the engines of the deployment.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         *,
         policy: RoutingPolicy | None = None,
         index: PrefixIndex | None = None,
-        demand: Demand = NO_DEMAND,
+        hooks: ModelHooks = NO_HOOKS,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._failure_domain = failure_domain
@@ -66,20 +66,19 @@
         self._rng = rng
         self._policy = policy or PrefixAffinity()
         self._index = index or PrefixIndex()
-        self._demand = demand
+        self._hooks = hooks
         self._clock = clock
         self._load = LoadEstimate(in_flight)
         self._freshness = Freshness(directory.engines, clock)
         self._turns = itertools.count()
 
     def route(self, unit: Unit, prompt: str, excluded: Collection[str] = ()) -> Route | None:
-        """Return where an attempt at ``unit`` goes; None when it is ready nowhere.
+        """Return the route of an attempt at ``unit``; None if no engine is available.
 
-        While the version that now serves is ready nowhere, any other listed
-        version of the model that is ready answers in its place, so a change of
-        versions leaves no caller without an answer.
+        While no engine is ready for the version of ``unit``, any other listed version of
+        the model is used, so that callers are served during a change of version.
         """
-        others = (v for v in self._demand.listed_versions(unit.model) if v != unit.version)
+        others = (v for v in self._hooks.listed_versions(unit.model) if v != unit.version)
         for version in (unit.version, *others):
             candidate = unit._replace(version=version)
             view = self._choose(str(candidate), prompt, excluded)
@@ -88,15 +87,15 @@
         return None
 
     def note_arrival(self, model: str) -> None:
-        """Count a request for ``model``, also one that will be refused: it is demand."""
-        self._demand.arrived(model)
+        """Count a request for ``model`` as demand, including requests refused later."""
+        self._hooks.note_arrival(model)
 
     def choose_engine(self, unit: str, excluded: Collection[str]) -> EngineView | None:
-        """Return an engine where exactly ``unit`` is ready, None when there is none."""
+        """Return an engine where exactly ``unit`` is ready; None if there is none."""
         return self._choose(unit, "", excluded)
 
     def choose_plain(self, service: str, excluded: Collection[str]) -> PlainMember | None:
-        """Return an upstream of plain ``service``, None when there is none."""
+        """Return an upstream of the plain ``service``; None if there is none."""
         candidates = [
             m for m in self._members.plain(service) if not m.leaving and m.id not in excluded
         ]
@@ -117,9 +116,9 @@
         ]
         if not candidates:
             return None
-        return self._by_policy(candidates, unit, prompt)
+        return self._choose_by_policy(candidates, unit, prompt)
 
-    def _by_policy(self, candidates: list[EngineView], unit: str, prompt: str) -> EngineView:
+    def _choose_by_policy(self, candidates: list[EngineView], unit: str, prompt: str) -> EngineView:
         match self._policy:
             case RoundRobin():
                 return candidates[next(self._turns) % len(candidates)]
@@ -128,18 +127,20 @@
             case LeastInFlight():
                 return min(candidates, key=lambda v: self._in_flight.count(v.member.id))
             case PrefixAffinity() as policy:
-                return self._by_affinity(policy, candidates, block_digests(unit, prompt))
+                return self._choose_by_affinity(policy, candidates, block_digests(unit, prompt))
             case _:
                 assert_never(self._policy)
 
-    def _by_affinity(
+    def _choose_by_affinity(
         self, policy: PrefixAffinity, candidates: list[EngineView], digests: Sequence[str]
     ) -> EngineView:
         loads = self._load.loads(candidates)
-        pool = self._near(policy, candidates, loads)
+        pool = self._prefer_nearby(policy, candidates, loads)
         least = min(loads[v.member.id] for v in pool)
-        idle = [v for v in pool if loads[v.member.id] <= least + policy.affinity_slack]
-        best = _longest(idle, self._index.matches(digests)) or _homes(idle, pool, digests)
+        lightly_loaded = [v for v in pool if loads[v.member.id] <= least + policy.affinity_slack]
+        best = _with_longest_prefix(lightly_loaded, self._index.matches(digests)) or _home_engines(
+            lightly_loaded, pool, digests
+        )
         if not best:
             best = [v for v in pool if loads[v.member.id] <= least + policy.best_slack]
         two = self._rng.sample(best, min(CHOICES, len(best)))
@@ -147,30 +148,32 @@
         self._index.add(view.member.id, digests, self._clock())
         return view
 
-    def _near(
+    def _prefer_nearby(
         self, policy: PrefixAffinity, candidates: list[EngineView], loads: dict[str, float]
     ) -> list[EngineView]:
-        """Return the own failure domain's engines, all when those are much busier."""
+        """Return the engines of the own failure domain, or all if those are much busier."""
         near = [v for v in candidates if v.member.failure_domain == self._failure_domain]
         most = min(loads.values()) + policy.near_slack
         return near if near and min(loads[v.member.id] for v in near) <= most else candidates
 
 
-def _longest(idle: list[EngineView], blocks: dict[str, int]) -> list[EngineView]:
-    """Return the engines that have the most of the prefix."""
-    longest = max((blocks.get(v.member.id, 0) for v in idle), default=0)
-    return [v for v in idle if longest and blocks.get(v.member.id, 0) == longest]
+def _with_longest_prefix(
+    lightly_loaded: list[EngineView], blocks: dict[str, int]
+) -> list[EngineView]:
+    """Return the engines that have the longest part of the prefix cached."""
+    longest = max((blocks.get(v.member.id, 0) for v in lightly_loaded), default=0)
+    return [v for v in lightly_loaded if longest and blocks.get(v.member.id, 0) == longest]
 
 
-def _homes(
-    idle: list[EngineView], pool: list[EngineView], digests: Sequence[str]
+def _home_engines(
+    lightly_loaded: list[EngineView], pool: list[EngineView], digests: Sequence[str]
 ) -> list[EngineView]:
-    """Return where a prefix that this instance has not seen yet belongs.
+    """Return the engines that a prefix new to this instance is assigned to.
 
-    All instances come to the same two engines without a word, so that a prefix
-    is kept twice in a failure domain and not once for each instance.
+    All instances compute the same two engines without communication, so a prefix is
+    cached twice in a failure domain and not once per instance.
     """
     if not digests:
         return []
     homes = rendezvous_order(digests[0], (v.member.id for v in pool))[:CHOICES]
-    return [v for v in idle if v.member.id in homes]
+    return [v for v in lightly_loaded if v.member.id in homes]
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/link_state.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/store/link_state.py
@@ -1,4 +1,4 @@
-"""Whether the store answers, and since when."""
+"""Tracks whether the store answers one kind of read, and since when."""
 
 import time
 
@@ -6,7 +6,7 @@
 
 
 class LinkState:
-    """Logs when one kind of read is lost and regained, with the age of what is known."""
+    """Tracks the reads of ``what``, and logs when the store stops or resumes answering."""
 
     def __init__(self, what: str) -> None:
         self._what = what
@@ -34,7 +34,7 @@
         """Seconds since the last answer."""
         return time.monotonic() - self._answered_at
 
-    def answered(self) -> None:
+    def note_answer(self) -> None:
         """Note an answer."""
         now = time.monotonic()
         if self._lost_at is not None:
@@ -42,8 +42,8 @@
             self._lost_at = None
         self._answered_at = now
 
-    def failed(self, error: Exception) -> None:
-        """Note a call without a usable answer."""
+    def note_failure(self, error: Exception) -> None:
+        """Note a call without a usable answer; the log has the age of the last one."""
         now = time.monotonic()
         self._failed_at = now
         if self._lost_at is None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/report_check.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/upstreams/report_check.py
@@ -1,4 +1,4 @@
-"""Whether an engine's report can be true, whatever its vendor."""
+"""Checks that an engine's report is plausible, whatever its vendor."""
 
 from collections.abc import Iterator
 
@@ -7,17 +7,17 @@
 from redwingscale_daemon._internal.exceptions import ReportInvalid
 from redwingscale_daemon._internal.models.report import Report
 
-CAPACITY_LIMIT_BYTES = 1 << 50
-RESIDENTS_LIMIT = 4096
-ORDERS_LIMIT = 65_536
-NAME_LIMIT = 512
+MAX_CAPACITY_BYTES = 1 << 50
+MAX_RESIDENTS = 4096
+MAX_ORDERS = 65_536
+MAX_NAME_CHARACTERS = 512
 
 
 def check_report(report: Report) -> None:
-    """Raise `ReportInvalid` with every contradiction in ``report``.
+    """Raise `ReportInvalid` that lists every implausible value in ``report``.
 
-    Routing and the memory ledger reckon with these numbers: a negative size
-    would make room that is not there.
+    Routing and memory accounting compute with these numbers: a negative size would
+    count as free memory that does not exist.
     """
     findings = [
         *_capacity_findings(report),
@@ -29,35 +29,35 @@
 
 
 def _capacity_findings(report: Report) -> Iterator[str]:
-    if not 0 < report.capacity_bytes <= CAPACITY_LIMIT_BYTES:
-        yield f"capacity of {report.capacity_bytes} bytes"
+    if not 0 < report.capacity_bytes <= MAX_CAPACITY_BYTES:
+        yield f"capacity of {report.capacity_bytes} bytes is out of range"
     used = sum(r.size_bytes for r in report.residents)
     if used > report.capacity_bytes:
-        yield f"{used} bytes resident in {report.capacity_bytes}"
+        yield f"{used} bytes are resident in a capacity of {report.capacity_bytes}"
 
 
 def _resident_findings(report: Report) -> Iterator[str]:
-    if len(report.residents) > RESIDENTS_LIMIT:
-        yield f"{len(report.residents)} residents"
+    if len(report.residents) > MAX_RESIDENTS:
+        yield f"{len(report.residents)} resident units are too many"
         return
     if len({r.unit for r in report.residents}) < len(report.residents):
-        yield "a unit stands twice"
+        yield "a unit is listed twice"
     for resident in report.residents:
         if resident.size_bytes < 0:
-            yield f"{resident.unit[:NAME_LIMIT]!r} has {resident.size_bytes} bytes"
+            yield f"{resident.unit[:MAX_NAME_CHARACTERS]!r} has a size of {resident.size_bytes} bytes"
         if not _is_unit(resident.unit):
-            yield f"{resident.unit[:NAME_LIMIT]!r} is no unit"
+            yield f"{resident.unit[:MAX_NAME_CHARACTERS]!r} is not a unit"
 
 
 def _load_findings(report: Report) -> Iterator[str]:
     if report.running < 0 or report.waiting < 0:
-        yield f"{report.running} running and {report.waiting} waiting requests"
+        yield f"request counts are negative: {report.running} running, {report.waiting} waiting"
     if report.slots < 1:
-        yield f"{report.slots} slots"
+        yield f"{report.slots} slots are too few"
     if report.fence < 0:
-        yield f"fence {report.fence}"
-    if len(report.orders) > ORDERS_LIMIT:
-        yield f"{len(report.orders)} orders"
+        yield f"fence {report.fence} is negative"
+    if len(report.orders) > MAX_ORDERS:
+        yield f"{len(report.orders)} orders are too many"
 
 
 def _is_unit(text: str) -> bool:
@@ -65,4 +65,4 @@
         Unit.parse(text)
     except ValueError:
         return False
-    return len(text) <= NAME_LIMIT
+    return len(text) <= MAX_NAME_CHARACTERS
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Upstreams that advertise how many requests they take of all instances together."""
+"""Upstreams with a limit on the requests of all instances together."""
 
 import itertools
 import time
@@ -19,13 +19,13 @@
 RARE_EVERY = 50
 
 
-def ask_until(instance, end, ids):
+def send_until(instance, end, ids):
     while time.monotonic() < end:
         instance.ask("m1", request=f"{instance.name}-{next(ids)}")
 
 
 def test_all_instances_together_keep_the_rate_limit_of_an_upstream(deployment):
-    # Guards against instances that each send an upstream with a limit as much as before.
+    # Guards against instances that each send as many requests as without a limit.
     worker = deployment.worker("w1", "m1")
     instances = [deployment.instance(name) for name in ("one", "two", "three")]
     worker.rate_limit = RATE
@@ -35,12 +35,12 @@
     ids = itertools.count()
     with ThreadPoolExecutor(len(instances) * CALLERS_EACH) as pool:
         for instance in instances * CALLERS_EACH:
-            pool.submit(ask_until, instance, named_at + LOAD_SECONDS, ids)
+            pool.submit(send_until, instance, named_at + LOAD_SECONDS, ids)
     assert most_in_window(worker.called_at, named_at) <= most_allowed(RATE)
 
 
 def test_models_of_an_upstream_with_a_limit_are_served(deployment):
-    # Guards against callers that lose all models of an upstream that takes few requests.
+    # Guards against callers that lose all models of an upstream with a low limit.
     limited = deployment.worker("w1", "m1", "m2")
     deployment.worker("w2", "m3")
     instances = [deployment.instance(name) for name in ("one", "two")]
@@ -61,14 +61,14 @@
     assert most_in_window(limited.called_at, named_at) <= most_allowed(RATE)
 
 
-def test_end_of_a_limit_is_found_out(deployment):
-    # Guards against an upstream that nobody asks any more when it could take all again.
+def test_end_of_a_limit_is_detected(deployment):
+    # Guards against an upstream that gets no more requests after its limit has ended.
     worker = deployment.worker("w1", "m1")
     one = deployment.instance("one")
     worker.rate_limit = RATE
     assert one.ask("m1", request="first")[0] == 200
     worker.rate_limit = None
     assert one.ask("m1", request="second")[0] == 200
-    until(lambda: b"upstream_rate_limit" in one.log.read_bytes(), "the rate's line")
-    until(lambda: b"per_second=- before=1.0" in one.log.read_bytes(), "the end of the need")
+    until(lambda: b"upstream_rate_limit" in one.log.read_bytes(), "the log line of the limit")
+    until(lambda: b"per_second=- before=1.0" in one.log.read_bytes(), "the end of the limit")
     assert all(one.ask("m1", request=f"r{n}")[0] == 200 for n in range(20))
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/owner.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/owner.py
@@ -50,7 +50,7 @@
             current=cast(Any, SimpleNamespace(get=lambda: accepted)),
             ownership=self.ownership,
             intents=IntentStore(table),
-            acks=cast(Any, SimpleNamespace(all_done=lambda *_: True)),
+            acks=cast(Any, SimpleNamespace(all_drained=lambda *_: True)),
             metrics=cast(Any, SimpleNamespace(orders=_NoCounter(), invalid_reports=_NoCounter())),
             moves=MoveHistory(table),
             clock=clock,
@@ -60,7 +60,7 @@
 
     def step(self, engine: EngineMember) -> None:
         """Do what the daemon's thread for this engine does once."""
-        grant = self.ownership.try_acquire(self._engine) or self.ownership.last(self._engine)
+        grant = self.ownership.try_acquire(self._engine) or self.ownership.last_grant(self._engine)
         if grant is not None:
             self._owner.step(engine, grant)
 
