--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_history.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_history.py
@@ -3,7 +3,7 @@
 from redwingscale_cli._internal.cli.context import CommandContext
 from redwingscale_cli._internal.cli.output import print_json, print_table
 
-DIGEST_CHARACTERS = 12
+SHOWN_DIGEST_CHARACTERS = 12
 
 
 def run(context: CommandContext) -> None:
@@ -12,5 +12,7 @@
     if context.as_json:
         print_json(history)
         return
-    rows = [(i["version"], i["at"], i["author"], i["digest"][:DIGEST_CHARACTERS]) for i in history]
+    rows = [
+        (i["version"], i["at"], i["author"], i["digest"][:SHOWN_DIGEST_CHARACTERS]) for i in history
+    ]
     print_table(("VERSION", "AT", "AUTHOR", "DIGEST"), rows)
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_report.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_report.py
@@ -8,10 +8,10 @@
 from redwingscale_cli._internal.models.load_result import LoadReport, Percentiles
 from redwingscale_cli._internal.operations.load_run import LoadRun
 
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 600_000_000
+MIN_MICROSECONDS = 1
+MAX_MICROSECONDS = 600_000_000
 SIGNIFICANT_DIGITS = 3
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 MICROSECONDS_PER_MILLISECOND = 1000
 
 
@@ -34,8 +34,8 @@
 
 
 def _percentiles(seconds: Iterable[float]) -> Percentiles:
-    histogram = HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    histogram = HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
     for value in seconds:
-        histogram.record_value(max(LOWEST_MICROSECONDS, int(value * MICROSECONDS)))
+        histogram.record_value(max(MIN_MICROSECONDS, int(value * MICROSECONDS_PER_SECOND)))
     points = [histogram.get_value_at_percentile(p) for p in (50.0, 95.0, 99.0, 100.0)]
     return Percentiles(*(point / MICROSECONDS_PER_MILLISECOND for point in points))
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_run.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_run.py
@@ -10,7 +10,7 @@
 from redwingscale_cli._internal.network.callers_client import CallersClient
 from redwingscale_cli._internal.operations.load_arrivals import arrivals
 
-MOST_THREADS = 512
+MAX_THREADS = 512
 PROGRESS_SECONDS = 2.0
 
 
@@ -27,7 +27,7 @@
     started = time.monotonic()
     next_progress = PROGRESS_SECONDS
     futures: list[Future[RequestResult]] = []
-    with ThreadPoolExecutor(MOST_THREADS) as pool:
+    with ThreadPoolExecutor(MAX_THREADS) as pool:
         for arrival in arrivals(plan):
             elapsed = time.monotonic() - started
             time.sleep(max(0.0, arrival.at_seconds - elapsed))
--- a/packages/redwingscale-cli/tests/functional/test_operators_session.py
+++ b/packages/redwingscale-cli/tests/functional/test_operators_session.py
@@ -18,7 +18,7 @@
     full_speed_loads=100,
 )
 UNIT = "listing-vetter@v1"
-MOST_KEPT_PER_ENGINE = 50
+MAX_MOVES_PER_ENGINE = 50
 
 
 class Session:
@@ -64,7 +64,7 @@
     shown = json.loads(session.read("two", "config", "show")["text"])
     session.client.wait_for(
         # The last 50 moves of an engine are kept, and this engine makes 77.
-        lambda: len(session.read("two", "moves")) == MOST_KEPT_PER_ENGINE,
+        lambda: len(session.read("two", "moves")) == MAX_MOVES_PER_ENGINE,
         "the last moves",
     )
 
--- a/packages/redwingscale-common/src/redwingscale_common/network/bounded.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/bounded.py
@@ -15,7 +15,7 @@
 from cheroot.server import HTTPConnection, HTTPRequest
 
 PROBLEM_TYPE = "application/problem+json"
-MOST_DISCARDED_BYTES = 1 << 20
+MAX_DISCARDED_BYTES = 1 << 20
 LINGER_SECONDS = 1.0
 LINGER_READ_BYTES = 1 << 16
 
@@ -87,7 +87,7 @@
             return True
         if self.chunked_read:
             return not getattr(self.rfile, "closed", False)
-        return bool(getattr(self.rfile, "remaining", 0) > MOST_DISCARDED_BYTES)
+        return bool(getattr(self.rfile, "remaining", 0) > MAX_DISCARDED_BYTES)
 
 
 class BoundedConnection(HTTPConnection):
--- a/packages/redwingscale-common/src/redwingscale_common/network/client.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/client.py
@@ -2,10 +2,10 @@
 
 import urllib3
 
-IDLE_CONNECTIONS = 64
+MAX_IDLE_CONNECTIONS = 64
 
 
-def new_pool(*, connections: int = IDLE_CONNECTIONS) -> urllib3.PoolManager:
+def new_pool(*, connections: int = MAX_IDLE_CONNECTIONS) -> urllib3.PoolManager:
     """Return a pool that sends each request exactly once.
 
     urllib3 retries and follows redirects unless told otherwise, which would
--- a/packages/redwingscale-common/src/redwingscale_common/network/exchange.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/exchange.py
@@ -7,7 +7,7 @@
 from cheroot.errors import MaxSizeExceeded
 
 JSON_TYPE = "application/json"
-TOO_LARGE = "Request Entity Too Large"
+TOO_LARGE_PHRASE = "Request Entity Too Large"
 CHUNK_HEADERS_BYTES = 64 << 10
 
 
@@ -48,7 +48,7 @@
     except MaxSizeExceeded:
         raise _too_large(limit) from None
     except OSError as error:
-        if TOO_LARGE in str(error):
+        if TOO_LARGE_PHRASE in str(error):
             raise _too_large(limit) from None
         raise
     if len(body) > limit:
--- a/packages/redwingscale-common/src/redwingscale_common/network/server.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/server.py
@@ -10,8 +10,8 @@
 from redwingscale_common.network.bounded import PROBLEM_TYPE, BoundedConnection
 
 SHUTDOWN_SECONDS = 2
-FIRST_SERVER_ERROR = 500
-LARGEST_HEAD_BYTES = 64 << 10
+MIN_SERVER_ERROR_STATUS = 500
+MAX_HEAD_BYTES = 64 << 10
 
 
 class ServerLimits(NamedTuple):
@@ -46,7 +46,7 @@
             accepted_queue_timeout=1,
             shutdown_timeout=SHUTDOWN_SECONDS,
         )
-        self._server.max_request_header_size = LARGEST_HEAD_BYTES
+        self._server.max_request_header_size = MAX_HEAD_BYTES
         self._server.ConnectionClass = BoundedConnection
         self._thread = threading.Thread(target=self._server.serve, name="http", daemon=True)
 
@@ -77,7 +77,7 @@
     """
     code = int(status[:3])
     cherrypy.response.headers["Content-Type"] = PROBLEM_TYPE
-    unexpected = code >= FIRST_SERVER_ERROR
+    unexpected = code >= MIN_SERVER_ERROR_STATUS
     return msgspec.json.encode(
         {
             "type": "about:blank",
--- a/packages/redwingscale-common/src/redwingscale_common/utils/line_writer.py
+++ b/packages/redwingscale-common/src/redwingscale_common/utils/line_writer.py
@@ -7,10 +7,10 @@
 from typing import TextIO
 
 # About a second of lines at ten times the usual load, some 3 MB.
-MOST_LINES = 10_000
+MAX_LINES = 10_000
 # From here on routine lines are left out, so that there is room for failures.
-ROUTINE_LINES = MOST_LINES // 2
-_BATCH = 200
+MAX_ROUTINE_LINES = MAX_LINES // 2
+_MAX_BATCH_LINES = 200
 
 
 class LineWriter:
@@ -24,26 +24,26 @@
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
         self._lines: queue.SimpleQueue[str] = queue.SimpleQueue()
-        self._idle = threading.Event()
+        self._all_written = threading.Event()
         self.dropped = 0
         threading.Thread(target=self._run, name="logs", daemon=True).start()
 
     def put(self, line: str, *, routine: bool) -> None:
         """Take a line, or count it as dropped."""
-        if self._lines.qsize() >= (ROUTINE_LINES if routine else MOST_LINES):
+        if self._lines.qsize() >= (MAX_ROUTINE_LINES if routine else MAX_LINES):
             self.dropped += 1
             return
-        self._idle.clear()
+        self._all_written.clear()
         self._lines.put(line)
 
     def flush(self, seconds: float) -> None:
         """Wait until everything is written, at most ``seconds``."""
-        self._idle.wait(seconds)
+        self._all_written.wait(seconds)
 
     def _run(self) -> None:
         while True:
             batch = [self._lines.get()]
-            while len(batch) < _BATCH and not self._lines.empty():
+            while len(batch) < _MAX_BATCH_LINES and not self._lines.empty():
                 batch.append(self._lines.get())
             if self.dropped:
                 batch.append(f"level=WARNING event=log_lines_dropped count={self.dropped}\n")
@@ -55,7 +55,7 @@
                 # Nobody reads the logs any more, and there is no other place to say so.
                 return
             if self._lines.empty():
-                self._idle.set()
+                self._all_written.set()
 
 
 _WRITERS: list[LineWriter] = []
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
@@ -21,9 +21,9 @@
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.upstreams.directory import Directory
 
-BODY_LIMIT = 16 << 20
+MAX_BODY_BYTES = 16 << 20
 CONFLICT = 409
-FINDINGS = 422
+UNPROCESSABLE = 422
 NOT_FOUND = 404
 
 
@@ -72,10 +72,10 @@
             case "GET", ("texts", digest):
                 return json_response({"text": self._store.text(digest)})
             case "POST", ():
-                body = msgspec.convert(read_json(BODY_LIMIT), ApplyBody)
+                body = msgspec.convert(read_json(MAX_BODY_BYTES), ApplyBody)
                 return self._apply(body.text, body.base_version, body.author)
             case "POST", ("rollback",):
-                return self._roll_back(msgspec.convert(read_json(BODY_LIMIT), RollbackBody))
+                return self._roll_back(msgspec.convert(read_json(MAX_BODY_BYTES), RollbackBody))
         return None
 
     def _show(self) -> bytes:
@@ -140,7 +140,7 @@
     body: dict[str, Any] = {"findings": [f._asdict() for f in findings]}
     if fit is not None:
         body["memory"] = fit._asdict()
-    return json_response(body, FINDINGS)
+    return json_response(body, UNPROCESSABLE)
 
 
 def _warnings(problem: str, fit: MemoryFit) -> list[str]:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/operators_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/operators_app.py
@@ -15,7 +15,7 @@
 from redwingscale_daemon._internal.placement.move_history import MoveHistory
 from redwingscale_daemon._internal.telemetry.metrics import Metrics
 
-BODY_LIMIT = 16 << 20
+MAX_BODY_BYTES = 16 << 20
 
 
 class DrainBody(msgspec.Struct):
@@ -87,6 +87,6 @@
         raise cherrypy.NotFound()
 
     def _drain(self) -> bytes:
-        body = msgspec.convert(read_json(BODY_LIMIT), DrainBody)
+        body = msgspec.convert(read_json(MAX_BODY_BYTES), DrainBody)
         known = self._drains.send(body.instance)
         return json_response({"instance": body.instance, "known": known}, 202 if known else 404)
