--- a/packages/redwingscale-common/src/redwingscale_common/network/bounded.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/bounded.py
@@ -28,9 +28,9 @@
         self._socket = sock
         self._seconds = seconds
         self.expired = False
-        self.restart()
+        self.restart_deadline()
 
-    def restart(self) -> None:
+    def restart_deadline(self) -> None:
         """Count the time from now."""
         self._deadline = time.monotonic() + self._seconds
 
@@ -63,15 +63,15 @@
 
     def send_headers(self) -> None:
         """Close after this answer if what is unread must not be taken for a request."""
-        if self._has_rest():
-            self.conn.has_rest = True
+        if self._has_unread_input():
+            self.conn.has_unread_input = True
             self.close_connection = True
         super().send_headers()
 
     def simple_response(self, status: str, msg: str = "") -> None:
         """Answer what cannot be parsed by a problem document, and close."""
         self.close_connection = True
-        self.conn.has_rest = True
+        self.conn.has_unread_input = True
         code, _, title = str(status).partition(" ")
         document = {"type": "about:blank", "title": title, "status": int(code), "run": "not_run"}
         body = msgspec.json.encode(document | ({"detail": msg} if msg else {}))
@@ -82,7 +82,7 @@
         with suppress(OSError):
             self.conn.wfile.write(head.encode("latin-1") + body)
 
-    def _has_rest(self) -> bool:
+    def _has_unread_input(self) -> bool:
         if self.conn.rfile.raw.expired:
             return True
         if self.chunked_read:
@@ -102,13 +102,13 @@
             return StreamWriter(raw, mode, size)
 
         super().__init__(server, sock, make_file)
-        self.has_rest = False
+        self.has_unread_input = False
 
     def communicate(self) -> bool:
         """Serve one request; return whether the connection can serve another."""
-        self.rfile.raw.restart()
+        self.rfile.raw.restart_deadline()
         keep = bool(super().communicate())  # type: ignore[no-untyped-call]
-        if not keep and self.has_rest:
+        if not keep and self.has_unread_input:
             self._linger()
         return keep
 
--- a/packages/redwingscale-common/src/redwingscale_common/network/exchange.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/exchange.py
@@ -11,61 +11,61 @@
 CHUNK_HEADERS_BYTES = 64 << 10
 
 
-def read_body(limit: int) -> bytes:
+def read_body(max_bytes: int) -> bytes:
     """Return the request's body.
 
-    Raises `cherrypy.HTTPError` 413 past ``limit`` bytes, 408 when the sender is
+    Raises `cherrypy.HTTPError` 413 past ``max_bytes`` bytes, 408 when the sender is
     too slow, and 400 when the body is cut or not well-formed.
     """
     try:
-        return _read_body(limit)
+        return _read_body(max_bytes)
     except TimeoutError:
         raise cherrypy.HTTPError(408, "the body did not arrive in time") from None
     except (OSError, ValueError) as error:
         raise cherrypy.HTTPError(400, f"the body cannot be read: {error}") from None
 
 
-def _read_body(limit: int) -> bytes:
+def _read_body(max_bytes: int) -> bytes:
     request = cherrypy.request
     if "chunked" in request.headers.get("Transfer-Encoding", "").lower():
-        return _read_chunked(limit)
+        return _read_chunked(max_bytes)
     length = int(request.headers.get("Content-Length") or 0)
-    if length > limit:
-        raise _too_large(limit)
+    if length > max_bytes:
+        raise _too_large(max_bytes)
     body: bytes = request.rfile.read(length) if length else b""
     if len(body) < length:
         raise cherrypy.HTTPError(400, "the body ended early")
     return body
 
 
-def _read_chunked(limit: int) -> bytes:
+def _read_chunked(max_bytes: int) -> bytes:
     reader = cherrypy.request.rfile
     # The reader takes each chunk whole: unless it knows the limit, one chunk
     # that claims to be huge would be read into memory.
-    reader.maxlen = limit + CHUNK_HEADERS_BYTES
+    reader.maxlen = max_bytes + CHUNK_HEADERS_BYTES
     try:
-        body: bytes = reader.read(limit + 1)
+        body: bytes = reader.read(max_bytes + 1)
     except MaxSizeExceeded:
-        raise _too_large(limit) from None
+        raise _too_large(max_bytes) from None
     except OSError as error:
         if TOO_LARGE_PHRASE in str(error):
-            raise _too_large(limit) from None
+            raise _too_large(max_bytes) from None
         raise
-    if len(body) > limit:
-        raise _too_large(limit)
+    if len(body) > max_bytes:
+        raise _too_large(max_bytes)
     if not reader.closed:
         raise cherrypy.HTTPError(400, "the body ended early")
     return body
 
 
-def _too_large(limit: int) -> cherrypy.HTTPError:
-    return cherrypy.HTTPError(413, f"the body has more than {limit} bytes")
+def _too_large(max_bytes: int) -> cherrypy.HTTPError:
+    return cherrypy.HTTPError(413, f"the body has more than {max_bytes} bytes")
 
 
-def read_json(limit: int) -> Any:
+def read_json(max_bytes: int) -> Any:
     """Return the request's JSON body; raise `cherrypy.HTTPError` 400 when it is none."""
     try:
-        return msgspec.json.decode(read_body(limit) or b"{}")
+        return msgspec.json.decode(read_body(max_bytes) or b"{}")
     except msgspec.DecodeError as error:
         raise cherrypy.HTTPError(400, str(error)) from None
 
--- a/packages/redwingscale-common/src/redwingscale_common/utils/jsontext.py
+++ b/packages/redwingscale-common/src/redwingscale_common/utils/jsontext.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self.findings: list[Finding] = []
 
-    def pairs(self, pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    def collect(self, pairs: list[tuple[str, Any]]) -> dict[str, Any]:
         seen: dict[str, Any] = {}
         for key, value in pairs:
             if key in seen:
@@ -33,7 +33,7 @@
     """Parse ``text``; raise `CheckFailed` with line and column when it is no JSON."""
     duplicates = _DuplicateKeys()
     try:
-        value = json.loads(text, object_pairs_hook=duplicates.pairs)
+        value = json.loads(text, object_pairs_hook=duplicates.collect)
     except json.JSONDecodeError as error:
         place = f"line {error.lineno} column {error.colno}"
         finding = Finding(place, f"not valid JSON: {error.msg}")
--- a/packages/redwingscale-common/src/redwingscale_common/utils/line_writer.py
+++ b/packages/redwingscale-common/src/redwingscale_common/utils/line_writer.py
@@ -61,13 +61,13 @@
 _WRITERS: list[LineWriter] = []
 
 
-def standard_output() -> LineWriter:
+def stdout_writer() -> LineWriter:
     """Return the one writer of standard output."""
     if not _WRITERS:
         _WRITERS.append(LineWriter(sys.stdout))
     return _WRITERS[0]
 
 
-def flusher() -> Callable[[float], None]:
+def stdout_flush() -> Callable[[float], None]:
     """Return what waits for the lines written so far."""
     return _WRITERS[0].flush if _WRITERS else lambda _: None
--- a/packages/redwingscale-common/src/redwingscale_common/utils/logs.py
+++ b/packages/redwingscale-common/src/redwingscale_common/utils/logs.py
@@ -5,7 +5,7 @@
 
 from loguru import logger
 
-from redwingscale_common.utils.line_writer import flusher, standard_output
+from redwingscale_common.utils.line_writer import stdout_flush, stdout_writer
 
 _FORMAT = (
     "time={time:YYYY-MM-DDTHH:mm:ss.SSSZZ} level={level.name} event={message}"
@@ -24,7 +24,7 @@
     """Send events to standard output as `configure_logs` does to standard error, never blocking."""
     logger.remove()
     logger.configure(extra={"context": _pairs(context), "fields": ""})
-    writer = standard_output()
+    writer = stdout_writer()
     routine = logger.level("INFO").no
 
     def sink(message: Any) -> None:
@@ -35,7 +35,7 @@
 
 def flush_logs(seconds: float = 1.0) -> None:
     """Wait until what was logged to standard output is written."""
-    flusher()(seconds)
+    stdout_flush()(seconds)
 
 
 def log_event(event: str, *, level: str = "INFO", **fields: object) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/reply.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/ingress/reply.py
@@ -51,7 +51,7 @@
         """Leave the request body unread; if there is one, close the connection after the answer."""
         request = self._request
         if request.chunked_read or getattr(request.rfile, "remaining", 0):
-            request.conn.has_rest = True
+            request.conn.has_unread_input = True
             request.close_connection = True
 
     def _set_head(self, status: int, headers: Iterable[tuple[str, str]]) -> None:
