--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/app.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/app.py
@@ -6,7 +6,7 @@
 import typer
 
 from redwingscale_cli._internal.cli.base_command import run_command
-from redwingscale_cli._internal.cli.context import CommandContext, context_from
+from redwingscale_cli._internal.cli.context import CommandContext, build_context
 
 app = typer.Typer(
     add_completion=False,
@@ -27,7 +27,7 @@
     context: typer.Context, instance: Instance = "", token: Token = "", as_json: AsJson = False
 ) -> None:
     """Take the options that every command shares."""
-    context.obj = context_from(instance, token, as_json)
+    context.obj = build_context(instance, token, as_json)
 
 
 def _shared(context: typer.Context, as_json: bool) -> CommandContext:
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/context.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/context.py
@@ -27,7 +27,7 @@
         return OperatorsClient(self.instance_url, self.token)
 
 
-def context_from(instance: str, token: str, as_json: bool) -> CommandContext:
+def build_context(instance: str, token: str, as_json: bool) -> CommandContext:
     """Return the context of the options, completed from the environment."""
     return CommandContext(
         instance_url=instance or os.environ.get(INSTANCE_VARIABLE, ""),
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_apply.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_apply.py
@@ -6,7 +6,7 @@
 from redwingscale_common.configuration import load_text
 
 from redwingscale_cli._internal.cli.context import CommandContext
-from redwingscale_cli._internal.operations.apply import accepted_version, show_spread
+from redwingscale_cli._internal.operations.apply import require_accepted, show_rollout
 from redwingscale_cli._internal.operations.text_file import read_text
 
 VERSION_IN_FORCE = -1
@@ -20,5 +20,5 @@
     if base == VERSION_IN_FORCE:
         base = client.get("/configuration")["version"]
     body = {"text": text, "base_version": base, "author": author or getpass.getuser()}
-    version = accepted_version(client.call("POST", "/configuration", body), text)
-    show_spread(context, client, version, wait)
+    version = require_accepted(client.call("POST", "/configuration", body), text)
+    show_rollout(context, client, version, wait)
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_show.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_show.py
@@ -4,14 +4,14 @@
 
 from redwingscale_cli._internal.cli.context import CommandContext
 from redwingscale_cli._internal.cli.output import print_json
-from redwingscale_cli._internal.operations.history import text_of
+from redwingscale_cli._internal.operations.history import fetch_text
 
 
 def run(context: CommandContext, version: int) -> None:
     """Print the text of ``version``; 0 stands for the one in force."""
     client = context.client()
     if version:
-        current = {"version": version, "text": text_of(client, version)}
+        current = {"version": version, "text": fetch_text(client, version)}
     else:
         current = client.get("/configuration")
     if context.as_json:
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/status.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/status.py
@@ -18,7 +18,7 @@
         return
     asked = status["instance"]["id"]
     rows = [
-        (instance, version, _silence(instance, asked, status["peers"]))
+        (instance, version, _format_silence(instance, asked, status["peers"]))
         for instance, version in sorted(versions.items())
     ]
     print_table(("INSTANCE", "VERSION", "LAST HEARD"), rows)
@@ -43,7 +43,7 @@
     return leases
 
 
-def _silence(instance: str, asked: str, peers: dict[str, float | None]) -> str:
+def _format_silence(instance: str, asked: str, peers: dict[str, float | None]) -> str:
     if instance == asked:
         return "asked"
     seconds = peers.get(instance)
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/models/log_line.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/models/log_line.py
@@ -19,11 +19,13 @@
 
     def render_fields(self) -> str:
         """Return the fields as they stand in the log, without time and instance."""
-        shown = (f"{key}={value}" for key, value in self.fields.items() if key not in _HEAD)
+        shown = (
+            f"{key}={value}" for key, value in self.fields.items() if key not in _HIDDEN_FIELDS
+        )
         return " ".join(shown)
 
 
-_HEAD = frozenset({"time", "level", "event", "instance", "request"})
+_HIDDEN_FIELDS = frozenset({"time", "level", "event", "instance", "request"})
 
 
 def parse_line(text: str, place: str) -> LogLine | None:
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/callers_client.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/callers_client.py
@@ -46,7 +46,7 @@
                 preload_content=False,
             )
             if response.status != OK:
-                return _refused(response.data, started)
+                return _refused_result(response.data, started)
             return self._read(response, started)
         except urllib3.exceptions.HTTPError:
             return RequestResult("cut", 0.0, (), time.monotonic() - started, False)
@@ -73,7 +73,7 @@
         )
 
 
-def _refused(body: bytes, started: float) -> RequestResult:
+def _refused_result(body: bytes, started: float) -> RequestResult:
     try:
         code = msgspec.json.decode(body)["type"].rsplit(":", 1)[-1]
     except (msgspec.DecodeError, KeyError, TypeError):
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/apply.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/apply.py
@@ -16,7 +16,7 @@
 UNPROCESSABLE = 422
 
 
-def accepted_version(reply: Reply, text: str) -> int:
+def require_accepted(reply: Reply, text: str) -> int:
     """Return the new version; show findings or the other operator's text, and raise."""
     if reply.status == CONFLICT:
         raise _conflict(reply.value, text)
@@ -30,19 +30,19 @@
     return version
 
 
-def show_spread(
+def show_rollout(
     context: CommandContext, client: OperatorsClient, version: int, wait_seconds: float
 ) -> None:
     """Watch ``version`` come into force and print where it is."""
-    spread = watch_until_in_force(client, version, wait_seconds)
+    rollout = watch_until_in_force(client, version, wait_seconds)
     if context.as_json:
-        print_json(spread._asdict())
+        print_json(rollout._asdict())
         return
     typer.echo(
-        f"version {version} in force at {len(spread.in_force)} instances"
-        f" after {spread.seconds:.1f} s"
+        f"version {version} in force at {len(rollout.in_force)} instances"
+        f" after {rollout.seconds:.1f} s"
     )
-    for instance in spread.behind:
+    for instance in rollout.behind:
         typer.echo(f"not yet at {instance}; it takes the version as soon as it is reached")
 
 
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/history.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/history.py
@@ -4,7 +4,7 @@
 from redwingscale_cli._internal.network.operators_client import OperatorsClient
 
 
-def text_of(client: OperatorsClient, version: int) -> str:
+def fetch_text(client: OperatorsClient, version: int) -> str:
     """Return the text of ``version``; raise `UsageError` when there is none."""
     history = client.get("/configuration/history")
     digests = {item["version"]: item["digest"] for item in history}
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_arrivals.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_arrivals.py
@@ -10,7 +10,7 @@
 PROMPT_PREFIX = "The following lot is to be described for the public register. " * 4
 
 
-def arrivals(plan: LoadPlan) -> Iterator[Arrival]:
+def generate_arrivals(plan: LoadPlan) -> Iterator[Arrival]:
     """Yield the arrivals of ``plan`` in order of time; the same for the same seed."""
     rng = random.Random(plan.seed)
     at_seconds = 0.0
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_run.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_run.py
@@ -8,7 +8,7 @@
 from redwingscale_cli._internal.models.load_plan import LoadPlan
 from redwingscale_cli._internal.models.load_result import RequestResult
 from redwingscale_cli._internal.network.callers_client import CallersClient
-from redwingscale_cli._internal.operations.load_arrivals import arrivals
+from redwingscale_cli._internal.operations.load_arrivals import generate_arrivals
 
 MAX_THREADS = 512
 PROGRESS_SECONDS = 2.0
@@ -28,7 +28,7 @@
     next_progress = PROGRESS_SECONDS
     futures: list[Future[RequestResult]] = []
     with ThreadPoolExecutor(MAX_THREADS) as pool:
-        for arrival in arrivals(plan):
+        for arrival in generate_arrivals(plan):
             elapsed = time.monotonic() - started
             time.sleep(max(0.0, arrival.at_seconds - elapsed))
             futures.append(pool.submit(client.send, arrival))
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/trace.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/trace.py
@@ -28,7 +28,7 @@
 )
 # Clocks of instances may differ by seconds, and a load takes some.
 CONTEXT_SECONDS = 10.0
-_UNKNOWN_REQUEST = "no line of this request; were the logs of all instances given?"
+_REQUEST_NOT_FOUND = "no line of this request; were the logs of all instances given?"
 
 
 class Trace(NamedTuple):
@@ -47,7 +47,7 @@
     lines = [line for file in files for line in read_lines(file)]
     own = tuple(line for line in lines if line.fields.get("request") == request)
     if not own:
-        raise ClientError(f"{request}: {_UNKNOWN_REQUEST}")
+        raise ClientError(f"{request}: {_REQUEST_NOT_FOUND}")
     return Trace(own, tuple(_context(own, lines)))
 
 
@@ -95,11 +95,11 @@
     first, last = own[0].at, own[-1].at
     for line in lines:
         near = first - CONTEXT_SECONDS <= line.at <= last + CONTEXT_SECONDS
-        if near and line.event in CONTEXT and _concerns(line, units, upstreams):
+        if near and line.event in CONTEXT and _is_related(line, units, upstreams):
             yield line
 
 
-def _concerns(line: LogLine, units: set[str], upstreams: set[str]) -> bool:
+def _is_related(line: LogLine, units: set[str], upstreams: set[str]) -> bool:
     fields = line.fields
     if "unit" not in fields and "model" not in fields and "upstream" not in fields:
         return True
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/watch.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/watch.py
@@ -9,7 +9,7 @@
 POLL_SECONDS = 0.25
 
 
-class Spread(NamedTuple):
+class Rollout(NamedTuple):
     """Where a version is in force after ``seconds``; ``behind`` lists the others."""
 
     version: int
@@ -18,22 +18,22 @@
     behind: list[str]
 
 
-def watch_until_in_force(client: OperatorsClient, version: int, wait_seconds: float) -> Spread:
+def watch_until_in_force(client: OperatorsClient, version: int, wait_seconds: float) -> Rollout:
     """Poll until ``version`` is in force at every listed instance or the time is up."""
     started = time.monotonic()
     shown: set[str] = set()
     while True:
-        spread = _spread(client, version, time.monotonic() - started)
-        for instance in sorted(set(spread.in_force) - shown):
+        rollout = _read_rollout(client, version, time.monotonic() - started)
+        for instance in sorted(set(rollout.in_force) - shown):
             print_progress(f"version {version} in force at {instance}")
-        shown |= set(spread.in_force)
-        if not spread.behind or spread.seconds >= wait_seconds:
-            return spread
+        shown |= set(rollout.in_force)
+        if not rollout.behind or rollout.seconds >= wait_seconds:
+            return rollout
         time.sleep(POLL_SECONDS)
 
 
-def _spread(client: OperatorsClient, version: int, seconds: float) -> Spread:
+def _read_rollout(client: OperatorsClient, version: int, seconds: float) -> Rollout:
     versions = client.get("/configuration/in-force")
-    ahead = sorted(i for i, known in versions.items() if known >= version)
-    behind = sorted(i for i, known in versions.items() if known < version)
-    return Spread(version, round(seconds, 3), ahead, behind)
+    in_force = sorted(i for i, current in versions.items() if current >= version)
+    behind = sorted(i for i, current in versions.items() if current < version)
+    return Rollout(version, round(seconds, 3), in_force, behind)
--- a/packages/redwingscale-cli/tests/unit/test_load_report.py
+++ b/packages/redwingscale-cli/tests/unit/test_load_report.py
@@ -4,7 +4,7 @@
 
 from redwingscale_cli._internal.models.load_plan import LoadPlan
 from redwingscale_cli._internal.models.load_result import RequestResult
-from redwingscale_cli._internal.operations.load_arrivals import arrivals
+from redwingscale_cli._internal.operations.load_arrivals import generate_arrivals
 from redwingscale_cli._internal.operations.load_report import build_report
 from redwingscale_cli._internal.operations.load_run import LoadRun
 
@@ -12,7 +12,7 @@
 
 
 def test_arrivals_are_seeded_ordered_and_end():
-    first, second = list(arrivals(PLAN)), list(arrivals(PLAN))
+    first, second = list(generate_arrivals(PLAN)), list(generate_arrivals(PLAN))
 
     assert first == second
     assert all(a.at_seconds <= b.at_seconds for a, b in itertools.pairwise(first))
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
@@ -96,13 +96,11 @@
     def _apply(self, text: str, base_version: int, author: str) -> bytes:
         findings = check_text("configuration", text)
         if findings:
-            return _refused(findings)
-        fit = compute_memory_fit(
-            load_accepted_text("configuration", text), self._directory.engines()
-        )
+            return _findings_response(findings)
+        fit = memory_fit(load_accepted_text("configuration", text), self._directory.engines())
         problem = fit.problem()
         if problem and fit.conclusive:
-            return _refused([Finding("$.models", problem)], fit)
+            return _findings_response([Finding("$.models", problem)], fit)
         match self._store.apply(text, base_version, author):
             case Applied(pointer=pointer, repeated=repeated):
                 self._current.put_in_force(VersionedText(pointer, text))
@@ -136,7 +134,7 @@
         return self._store.text(pointer.digest) if pointer else ""
 
 
-def _refused(findings: list[Finding], fit: MemoryFit | None = None) -> bytes:
+def _findings_response(findings: list[Finding], fit: MemoryFit | None = None) -> bytes:
     body: dict[str, Any] = {"findings": [f._asdict() for f in findings]}
     if fit is not None:
         body["memory"] = fit._asdict()
