--- a/packages/redwingscale-common/src/redwingscale_common/exceptions.py
+++ b/packages/redwingscale-common/src/redwingscale_common/exceptions.py
@@ -1,4 +1,4 @@
-"""The root error of the project and the errors that reach a person."""
+"""The base exception of the project and the exceptions that are shown to users."""
 
 from collections.abc import Sequence
 
@@ -6,11 +6,14 @@
 
 
 class RedwingscaleError(Exception):
-    """Root of every error that the project raises on purpose."""
+    """Base class of all exceptions that the project raises."""
 
 
 class UserFacingError(RedwingscaleError):
-    """An error shown to a person: what happened, where, and what to do."""
+    """An error shown to a user.
+
+    ``message`` says what failed, ``context`` where, and ``hint`` how to resolve it.
+    """
 
     def __init__(self, message: str, *, context: str = "", hint: str = "") -> None:
         super().__init__(message)
@@ -26,7 +29,7 @@
 
 
 class FindingError(UserFacingError):
-    """One finding of a check, as a member of an exception group."""
+    """A finding of a check as an exception, so that it can be a member of a group."""
 
     def __init__(self, finding: Finding) -> None:
         super().__init__(finding.message, context=finding.place, hint=finding.hint)
@@ -34,14 +37,14 @@
 
 
 class CheckFailed(ExceptionGroup[FindingError]):
-    """All findings of one checked text, raised together."""
+    """Raised with all findings of a checked text."""
 
     @classmethod
     def from_findings(cls, subject: str, findings: Sequence[Finding]) -> "CheckFailed":
-        """Wrap ``findings``, which must not be empty, of the text ``subject``."""
+        """Return the exception for the ``findings`` in ``subject``; there must be at least one."""
         return cls(f"{subject} is not valid", [FindingError(f) for f in findings])
 
     @property
     def findings(self) -> list[Finding]:
-        """The findings in the order of their detection."""
+        """The findings in the order in which they were found."""
         return [e.finding for e in self.exceptions if isinstance(e, FindingError)]
--- a/packages/redwingscale-common/src/redwingscale_common/network/__init__.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP in and out, by CherryPy and urllib3, set as every process needs them."""
+"""HTTP server and client, CherryPy and urllib3 with the settings that all processes share."""
--- a/packages/redwingscale-common/src/redwingscale_common/network/bounded.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/bounded.py
@@ -1,8 +1,8 @@
-"""CherryPy's connections with bounds that its server lacks.
+"""CherryPy connections with limits that its server lacks.
 
-The server's own timeout holds for each read of the socket, so a sender that
-trickles one byte at a time holds a thread for hours; and what a refused request
-leaves unread is read whole into memory, or taken for the next request.
+The server's own timeout applies to each read of the socket, so a client that sends one
+byte at a time occupies a thread for hours. The server also reads the unread body of a
+refused request whole into memory, or parses it as the next request.
 """
 
 import socket
@@ -21,7 +21,7 @@
 
 
 class DeadlineIO(socket.SocketIO):
-    """Reads a socket up to a moment, however the bytes are spread until then."""
+    """Reads a socket until a deadline that applies to all reads together."""
 
     def __init__(self, sock: socket.socket, seconds: float) -> None:
         super().__init__(sock, "rb")
@@ -31,11 +31,14 @@
         self.restart_deadline()
 
     def restart_deadline(self) -> None:
-        """Count the time from now."""
+        """Set the deadline anew, counted from now."""
         self._deadline = time.monotonic() + self._seconds
 
     def readinto(self, buffer: Any) -> int | None:
-        """Read what is there; raise TimeoutError past the deadline."""
+        """Read the bytes that are available.
+
+        Raises `TimeoutError` if the deadline passes first.
+        """
         remaining = self._deadline - time.monotonic()
         self.expired = remaining <= 0
         if self.expired:
@@ -51,7 +54,7 @@
 
 
 class BoundedReader(StreamReader):
-    """The server's reader over a `DeadlineIO`."""
+    """The server's `StreamReader` on top of a `DeadlineIO`."""
 
     def __init__(self, sock: socket.socket, seconds: float, buffer_bytes: int) -> None:
         super(StreamReader, self).__init__(DeadlineIO(sock, seconds), buffer_bytes)
@@ -59,17 +62,17 @@
 
 
 class BoundedRequest(HTTPRequest):
-    """Never keeps a connection that holds the rest of a body."""
+    """A request that closes its connection if the rest of its body must not be read."""
 
     def send_headers(self) -> None:
-        """Close after this answer if what is unread must not be taken for a request."""
+        """Send the headers; close the connection afterwards if unread input could be parsed."""
         if self._has_unread_input():
             self.conn.has_unread_input = True
             self.close_connection = True
         super().send_headers()
 
     def simple_response(self, status: str, msg: str = "") -> None:
-        """Answer what cannot be parsed by a problem document, and close."""
+        """Answer a request that cannot be parsed with a problem document, then close."""
         self.close_connection = True
         self.conn.has_unread_input = True
         code, _, title = str(status).partition(" ")
@@ -83,6 +86,7 @@
             self.conn.wfile.write(head.encode("latin-1") + body)
 
     def _has_unread_input(self) -> bool:
+        """Whether the rest of the body must not be read: it is late, chunked or too long."""
         if self.conn.rfile.raw.expired:
             return True
         if self.chunked_read:
@@ -91,7 +95,7 @@
 
 
 class BoundedConnection(HTTPConnection):
-    """Bounds the time in which one request, head and body, must have been sent."""
+    """A connection that limits the time for the head and body of a request together."""
 
     RequestHandlerClass = BoundedRequest
 
@@ -105,7 +109,7 @@
         self.has_unread_input = False
 
     def communicate(self) -> bool:
-        """Serve one request; return whether the connection can serve another."""
+        """Handle one request; return whether the connection can be used for another."""
         self.rfile.raw.restart_deadline()
         keep = bool(super().communicate())  # type: ignore[no-untyped-call]
         if not keep and self.has_unread_input:
@@ -113,9 +117,9 @@
         return keep
 
     def _linger(self) -> None:
-        # Closing a socket with unread bytes resets it, and the reset may overtake
-        # the answer: the sender would see a broken connection in place of a
-        # refusal. So take its bytes for a moment, and throw them away.
+        # Closing a socket with unread bytes resets the connection, and the reset may
+        # overtake the response: the client would see a broken connection instead of the
+        # refusal. So bytes are read and discarded for a short time before the close.
         deadline = time.monotonic() + LINGER_SECONDS
         with suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
--- a/packages/redwingscale-common/src/redwingscale_common/network/client.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/client.py
@@ -1,4 +1,4 @@
-"""HTTP out, by urllib3, without retries or redirects of its own."""
+"""HTTP client by urllib3 without automatic retries and redirects."""
 
 import urllib3
 
@@ -6,10 +6,10 @@
 
 
 def new_pool(*, connections: int = MAX_IDLE_CONNECTIONS) -> urllib3.PoolManager:
-    """Return a pool that sends each request exactly once.
+    """Return a connection pool that sends each request exactly once.
 
-    urllib3 retries and follows redirects unless told otherwise, which would
-    run a request again behind the back of the retry policy.
+    By default urllib3 retries and follows redirects, which would run a request again
+    without the knowledge of the retry policy.
     """
     return urllib3.PoolManager(
         num_pools=2048,
@@ -20,5 +20,5 @@
 
 
 def timeout(connect: float, read: float) -> urllib3.Timeout:
-    """Return the bounds of one call: ``connect`` and each ``read``, in seconds."""
+    """Return the timeouts of one request in seconds: ``connect``, and ``read`` for each read."""
     return urllib3.Timeout(connect=connect, read=read)
--- a/packages/redwingscale-common/src/redwingscale_common/network/exchange.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/exchange.py
@@ -14,8 +14,8 @@
 def read_body(max_bytes: int) -> bytes:
     """Return the request's body.
 
-    Raises `cherrypy.HTTPError` 413 past ``max_bytes`` bytes, 408 when the sender is
-    too slow, and 400 when the body is cut or not well-formed.
+    Raises `cherrypy.HTTPError` 413 if it has more than ``max_bytes``, 408 if it does not
+    arrive in time, and 400 if it is incomplete or malformed.
     """
     try:
         return _read_body(max_bytes)
@@ -40,8 +40,8 @@
 
 def _read_chunked(max_bytes: int) -> bytes:
     reader = cherrypy.request.rfile
-    # The reader takes each chunk whole: unless it knows the limit, one chunk
-    # that claims to be huge would be read into memory.
+    # The reader reads each chunk as a whole: without this limit, a single chunk that
+    # declares a huge size would be read into memory.
     reader.maxlen = max_bytes + CHUNK_HEADERS_BYTES
     try:
         body: bytes = reader.read(max_bytes + 1)
@@ -63,7 +63,10 @@
 
 
 def read_json(max_bytes: int) -> Any:
-    """Return the request's JSON body; raise `cherrypy.HTTPError` 400 when it is none."""
+    """Return the decoded JSON body of the request, ``{}`` for an empty body.
+
+    Raises `cherrypy.HTTPError` 400 if the body is not JSON, and the errors of `read_body`.
+    """
     try:
         return msgspec.json.decode(read_body(max_bytes) or b"{}")
     except msgspec.DecodeError as error:
@@ -71,7 +74,7 @@
 
 
 def json_response(value: Any, status: int = 200) -> bytes:
-    """Set status and type of the response and return ``value`` as its body."""
+    """Set the status and content type of the response; return ``value`` encoded as its body."""
     cherrypy.response.status = status
     cherrypy.response.headers["Content-Type"] = JSON_TYPE
     return msgspec.json.encode(value)
--- a/packages/redwingscale-common/src/redwingscale_common/network/server.py
+++ b/packages/redwingscale-common/src/redwingscale_common/network/server.py
@@ -1,4 +1,4 @@
-"""One HTTP port: a CherryPy application behind CherryPy's own server."""
+"""An HTTP server: a CherryPy application on CherryPy's own WSGI server."""
 
 import threading
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class ServerLimits(NamedTuple):
-    """Bounds of one port: worker threads, queued connections, time to send a request."""
+    """Limits of one port: worker threads, queued connections, time to receive a request."""
 
     threads: int = 32
     backlog: int = 1024
@@ -23,18 +23,18 @@
 
 
 class HttpServer:
-    """Serves ``handler`` on a TCP port; port 0 takes a free one.
+    """Serves ``handler`` on a TCP port; port 0 selects a free one.
 
-    The application runs without CherryPy's process bus: its autoreloader and
-    its restart on SIGHUP start a new process, which an instance must not do.
+    The application runs without CherryPy's process bus, whose autoreloader and restart on
+    SIGHUP start a new process: an instance must not do that.
     """
 
     def __init__(self, handler: object, host: str, port: int, limits: ServerLimits) -> None:
         application = cherrypy.Application(handler, "", {"/": _APPLICATION_CONFIG})
         application.log.screen = False
         application.log.error_log.propagate = False
-        # CherryPy formats an access line for each request even where nothing
-        # takes it: 5% of a short request's processor time.
+        # CherryPy formats an access log line for each request even without a log handler,
+        # which takes 5% of the processor time of a short request.
         application.log.access = _no_access_log
         self._server = wsgi.Server(
             (host, port),
@@ -51,29 +51,29 @@
         self._thread = threading.Thread(target=self._server.serve, name="http", daemon=True)
 
     def start(self) -> None:
-        """Bind and serve; raise OSError when the address is taken."""
+        """Bind the port and start to serve; raise `OSError` if the address is in use."""
         self._server.prepare()
         self._thread.start()
 
     @property
     def port(self) -> int:
-        """The port in use, also when 0 was asked for."""
+        """The port in use, also if 0 was requested."""
         return int(self._server.bind_addr[1])
 
     def stop(self) -> None:
-        """Stop accepting and close; open responses have a short time to end."""
+        """Stop accepting connections; open responses may complete for ``SHUTDOWN_SECONDS``."""
         self._server.stop()
 
 
 def _no_access_log() -> None:
-    """Write nothing; the project logs events of its own."""
+    """Replaces CherryPy's access log; the handlers log their own events."""
 
 
 def _error_page(status: str, message: str, **_: str) -> bytes:
-    """Render what no handler has answered, as a problem document.
+    """Return the problem document for a request that no handler answered.
 
-    An exception that nobody expected may have come after the request was sent
-    on, so it says nothing of whether it was run.
+    An unexpected exception may occur after the request was forwarded, so ``run`` is
+    ``unknown`` then.
     """
     code = int(status[:3])
     cherrypy.response.headers["Content-Type"] = PROBLEM_TYPE
--- a/packages/redwingscale-common/src/redwingscale_common/utils/digests.py
+++ b/packages/redwingscale-common/src/redwingscale_common/utils/digests.py
@@ -10,15 +10,15 @@
 
 
 def rendezvous_score(key: str, member: str) -> int:
-    """Return the weight of ``member`` for ``key``; equal on every instance."""
+    """Return the score of ``member`` for ``key``, which is the same on every instance."""
     digest = hashlib.blake2b(f"{key}\0{member}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 def rendezvous_order(key: str, members: Iterable[str]) -> list[str]:
-    """Return ``members`` from the best to the worst for ``key``.
+    """Return ``members`` by descending score for ``key``.
 
-    Losing one member moves only the keys it held, so a failed instance does
-    not reassign the upstreams of the others.
+    Removing a member reassigns only the keys for which it came first, so the upstreams of
+    other instances stay where they are when an instance fails.
     """
     return sorted(members, key=lambda m: (rendezvous_score(key, m), m), reverse=True)
--- a/packages/redwingscale-common/src/redwingscale_common/utils/jsontext.py
+++ b/packages/redwingscale-common/src/redwingscale_common/utils/jsontext.py
@@ -1,4 +1,4 @@
-"""JSON texts written by people: parsing with places, duplicate keys found."""
+"""Parses hand-written JSON; reports the place of errors and duplicate keys."""
 
 import json
 from pathlib import Path
@@ -9,16 +9,17 @@
 
 
 class _DuplicateKeys:
-    """Collects keys that stand twice in one JSON object.
+    """Finds keys that occur twice in one JSON object.
 
-    ``json`` keeps the last of two equal keys silently: an operator's first
-    model would vanish without a word.
+    ``json`` silently keeps only the last value of a duplicate key, so the first of two
+    models with the same name would be ignored.
     """
 
     def __init__(self) -> None:
         self.findings: list[Finding] = []
 
     def collect(self, pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+        """Return the object of ``pairs``; add a finding for each duplicate key."""
         seen: dict[str, Any] = {}
         for key, value in pairs:
             if key in seen:
@@ -30,7 +31,10 @@
 
 
 def parse_json_text(subject: str, text: str) -> Any:
-    """Parse ``text``; raise `CheckFailed` with line and column when it is no JSON."""
+    """Return the value of the JSON ``text``.
+
+    Raises `CheckFailed` if it is not JSON, with line and column, or has duplicate keys.
+    """
     duplicates = _DuplicateKeys()
     try:
         value = json.loads(text, object_pairs_hook=duplicates.collect)
@@ -47,7 +51,10 @@
 
 
 def read_json_file(path: Path) -> Any:
-    """Parse the file at ``path``; raise `CheckFailed` when it cannot be read."""
+    """Return the value of the JSON file at ``path``.
+
+    Raises `CheckFailed` if it cannot be read or parsed.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/packages/redwingscale-common/src/redwingscale_common/utils/line_writer.py
+++ b/packages/redwingscale-common/src/redwingscale_common/utils/line_writer.py
@@ -1,4 +1,4 @@
-"""Writes lines to a stream without ever blocking who logs them."""
+"""Writes log lines to a stream without blocking the threads that log them."""
 
 import queue
 import sys
@@ -6,19 +6,19 @@
 from collections.abc import Callable
 from typing import TextIO
 
-# About a second of lines at ten times the usual load, some 3 MB.
+# About one second of lines at ten times the usual load, some 3 MB.
 MAX_LINES = 10_000
-# From here on routine lines are left out, so that there is room for failures.
+# Routine lines are dropped above this length, which leaves room for warnings and errors.
 MAX_ROUTINE_LINES = MAX_LINES // 2
 _MAX_BATCH_LINES = 200
 
 
 class LineWriter:
-    """A bounded queue and one thread that empties it.
+    """A bounded queue of lines and one thread that writes them to ``stream``.
 
-    A reader of standard output that stops reading would block every thread at
-    its next line. Here the queue fills instead: routine lines are dropped first,
-    and a line that comes through later tells how many.
+    If the process that reads standard output stalls, every thread that logs would block at
+    its next line. With the queue, lines are dropped instead, routine lines first; a later
+    line reports how many were dropped.
     """
 
     def __init__(self, stream: TextIO) -> None:
@@ -29,7 +29,7 @@
         threading.Thread(target=self._run, name="logs", daemon=True).start()
 
     def put(self, line: str, *, routine: bool) -> None:
-        """Take a line, or count it as dropped."""
+        """Queue ``line``, or drop and count it if the queue is full."""
         if self._lines.qsize() >= (MAX_ROUTINE_LINES if routine else MAX_LINES):
             self.dropped += 1
             return
@@ -37,7 +37,7 @@
         self._lines.put(line)
 
     def flush(self, seconds: float) -> None:
-        """Wait until everything is written, at most ``seconds``."""
+        """Wait until all queued lines are written, at most ``seconds``."""
         self._all_written.wait(seconds)
 
     def _run(self) -> None:
@@ -52,7 +52,7 @@
                 self._stream.write("".join(batch))
                 self._stream.flush()
             except OSError:
-                # Nobody reads the logs any more, and there is no other place to say so.
+                # The stream is closed at the other end, and the failure cannot be logged elsewhere.
                 return
             if self._lines.empty():
                 self._all_written.set()
@@ -62,12 +62,12 @@
 
 
 def stdout_writer() -> LineWriter:
-    """Return the one writer of standard output."""
+    """Return the process's only writer to standard output; create it at the first call."""
     if not _WRITERS:
         _WRITERS.append(LineWriter(sys.stdout))
     return _WRITERS[0]
 
 
 def stdout_flush() -> Callable[[float], None]:
-    """Return what waits for the lines written so far."""
+    """Return the `flush` method of the writer to standard output; without one it does nothing."""
     return _WRITERS[0].flush if _WRITERS else lambda _: None
--- a/packages/redwingscale-common/src/redwingscale_common/utils/logs.py
+++ b/packages/redwingscale-common/src/redwingscale_common/utils/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one key=value line for each event, written by loguru."""
+"""Structured logs: loguru writes one line of key=value pairs for each event."""
 
 import sys
 from typing import Any
@@ -14,14 +14,14 @@
 
 
 def configure_logs(level: str, **context: str) -> None:
-    """Send events of ``level`` and above to standard error, each with ``context``."""
+    """Write events of ``level`` and above to standard error, each with ``context``."""
     logger.remove()
     logger.configure(extra={"context": _pairs(context), "fields": ""})
     logger.add(sys.stderr, format=_FORMAT, level=level.upper(), backtrace=False, diagnose=False)
 
 
 def log_to_stdout(level: str, **context: str) -> None:
-    """Send events to standard output as `configure_logs` does to standard error, never blocking."""
+    """Like `configure_logs`, but write to standard output and never block."""
     logger.remove()
     logger.configure(extra={"context": _pairs(context), "fields": ""})
     writer = stdout_writer()
@@ -34,7 +34,7 @@
 
 
 def flush_logs(seconds: float = 1.0) -> None:
-    """Wait until what was logged to standard output is written."""
+    """Wait until all events logged to standard output are written, at most ``seconds``."""
     stdout_flush()(seconds)
 
 
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/__init__.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP interface."""
+"""The operators' HTTP API."""
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
@@ -1,4 +1,4 @@
-"""The operators' calls that read and change the configuration."""
+"""Operators' API calls that read and change the configuration."""
 
 from typing import Any
 
@@ -28,7 +28,7 @@
 
 
 class ApplyBody(msgspec.Struct):
-    """A text to put in force in place of ``base_version``."""
+    """A request to replace version ``base_version`` of the configuration by ``text``."""
 
     text: str
     base_version: int
@@ -36,7 +36,7 @@
 
 
 class RollbackBody(msgspec.Struct):
-    """An old ``version`` whose text is to become a new version."""
+    """A request to apply the text of an earlier ``version`` as a new version."""
 
     version: int
     base_version: int
@@ -44,7 +44,7 @@
 
 
 class ConfigurationApi:
-    """Answers everything under ``/configuration``."""
+    """Handles every request under ``/configuration``."""
 
     def __init__(
         self,
@@ -61,7 +61,10 @@
         self._directory = directory
 
     def dispatch(self, method: str, segments: tuple[str, ...]) -> bytes | None:
-        """Answer one call; None when there is no such address. Raise `PlatformError`."""
+        """Return the body of the response, None if no call has this path.
+
+        Raises `PlatformError` if the configuration store cannot be read or written.
+        """
         match method, segments:
             case "GET", ():
                 return self._show()
@@ -112,11 +115,11 @@
                 log_event("configuration_conflict", base_version=base_version, author=author)
                 return json_response(self._conflict(text, base_version, lost), CONFLICT)
 
-    def _conflict(self, text: str, base_version: int, lost: ApplyConflict) -> dict[str, Any]:
-        """Return the version in force and both differences, so that nothing is lost.
+    def _conflict(self, text: str, base_version: int, lost: Lost) -> dict[str, Any]:
+        """Return the version in force and two differences, so that no operator's edit is lost.
 
-        ``difference`` leads from the version in force to the refused text,
-        ``theirs`` from the refused text's base to the version in force.
+        ``difference`` lists the changes from the version in force to the refused text,
+        ``theirs`` the changes from the refused text's base version to the version in force.
         """
         current = lost.current or Pointer(0, "", "", "")
         in_force = self._text_of(lost.current)
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/drain_requests.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/drain_requests.py
@@ -1,4 +1,4 @@
-"""Drain orders of operators, carried to the instance that they name."""
+"""Sends operators' drain requests to the named instance by gossip."""
 
 import os
 import signal
@@ -13,7 +13,10 @@
 
 
 class DrainRequests:
-    """Any instance takes the order; the board carries it to the one that is named."""
+    """Publishes drain requests and drains this instance when a request names it.
+
+    Every instance accepts a request for any other one: the gossip state replicates it.
+    """
 
     def __init__(self, instance: str, gossip: GossipState) -> None:
         self._instance = instance
@@ -21,10 +24,11 @@
         gossip.subscribe(TOPIC, self._on_entry)
 
     def send(self, instance: str) -> bool:
-        """Ask ``instance`` to finish its requests and end; return False if unknown.
+        """Request that ``instance`` drains and exits; return False if it is unknown.
 
-        The entry names the process that is to end by its boot: entries stay in
-        circulation, and one without it would drain the instance's successor too.
+        The entry names the process by its boot number: entries stay in the gossip state,
+        and one without the number would also drain the process that starts next under
+        the same instance id.
         """
         boots = [e.boot for e in self._gossip.entries() if e.origin == instance]
         if not boots:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/operators_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/operators_app.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface, on its own port with its own token."""
+"""The operators' HTTP API, which has its own port and its own token."""
 
 from typing import Any
 
@@ -19,13 +19,13 @@
 
 
 class DrainBody(msgspec.Struct):
-    """The instance that is to end."""
+    """A request to drain ``instance``."""
 
     instance: str
 
 
 class OperatorsApp:
-    """``/status``, ``/configuration``, ``/models``, ``/upstreams``, ``/metrics``."""
+    """Serves the operators' HTTP API; every path but ``/metrics`` needs the operators' token."""
 
     def __init__(
         self,
@@ -47,6 +47,7 @@
 
     @cherrypy.expose
     def default(self, *segments: str, **query: Any) -> bytes:
+        """Handle a request for the path ``segments``; CherryPy calls it for every path."""
         if segments == ("metrics",):
             cherrypy.response.headers["Content-Type"] = "text/plain; version=0.0.4"
             return self._metrics.prometheus_page()
@@ -79,9 +80,9 @@
             case "GET", ("upstreams",):
                 return json_response(self._view.upstreams())
             case method, ("configuration", *rest):
-                answer = self._configuration.dispatch(method, tuple(rest))
-                if answer is not None:
-                    return answer
+                response = self._configuration.dispatch(method, tuple(rest))
+                if response is not None:
+                    return response
             case "POST", ("drain",):
                 return self._drain()
         raise cherrypy.NotFound()
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/state_view.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/state_view.py
@@ -1,4 +1,4 @@
-"""What this instance knows, in the shape that operators read."""
+"""The state of this instance as the operators' HTTP API returns it."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 class StateView:
-    """Builds the answers of the operators' interface."""
+    """Builds the response bodies of the operators' HTTP API that show state."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._in_flight = in_flight
 
     def status(self) -> dict[str, Any]:
-        """Return readiness, version in force, session and peers."""
+        """Return readiness, configuration version, session and seconds of silence of each peer."""
         accepted = self._current.get()
         return {
             "instance": self._instance._asdict(),
@@ -51,7 +51,7 @@
         }
 
     def models(self) -> dict[str, Any]:
-        """Return where each listed unit answers requests."""
+        """Return the size of each unit to serve and the engines where it is resident."""
         accepted = self._current.get()
         units = accepted.configuration.serving_units() if accepted else {}
         return {
@@ -63,7 +63,7 @@
         }
 
     def upstreams(self) -> dict[str, Any]:
-        """Return each engine with its load and memory."""
+        """Return the load and the memory use of each engine by its id."""
         return {key: self._engine(view) for key, view in self._directory.engines().items()}
 
     def _engine(self, view: EngineView) -> dict[str, Any]:
