--- a/packages/redwingscale-common/src/redwingscale_common/configuration/__init__.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' text: its schema, its checks and its typed form."""
+"""The configuration: its JSON text, the schema and checks of the text, and its typed form."""
 
 from redwingscale_common.configuration.caller import Caller
 from redwingscale_common.configuration.check import check_text, load_accepted_text, load_text
--- a/packages/redwingscale-common/src/redwingscale_common/configuration/build.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/build.py
@@ -1,4 +1,4 @@
-"""Builds the typed configuration from a text that passed its checks."""
+"""Builds the typed configuration from the parsed configuration text."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -25,7 +25,7 @@
 
 
 def build_configuration(value: Mapping[str, Any]) -> Configuration:
-    """Return the typed form of ``value``, a parsed text without findings."""
+    """Return the typed form of ``value``, a parsed configuration text without findings."""
     callers = {name: _caller(name, item) for name, item in value["callers"].items()}
     return Configuration(
         deployment=value["deployment"],
--- a/packages/redwingscale-common/src/redwingscale_common/configuration/caller.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/caller.py
@@ -1,13 +1,13 @@
-"""A caller as the operators' text lists it."""
+"""A caller in the configuration."""
 
 from typing import NamedTuple
 
 
 class Caller(NamedTuple):
-    """Who may call, known by the SHA-256 of its bearer token.
+    """A client that may send requests, identified by the SHA-256 of its bearer token.
 
-    ``share`` weighs the caller's part of a full instance against the others;
-    ``deadline_seconds`` holds for requests that name none.
+    ``share`` is the caller's weight when callers compete for a fully loaded instance.
+    ``deadline_seconds`` applies to requests that state no deadline.
     """
 
     name: str
--- a/packages/redwingscale-common/src/redwingscale_common/configuration/check.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/check.py
@@ -1,4 +1,4 @@
-"""Checks the operators' text and builds its typed form."""
+"""Checks the configuration text and builds its typed form."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 def check_text(subject: str, text: str) -> list[Finding]:
-    """Return every finding in ``text``; an empty list means that it may be applied."""
+    """Return all findings in ``text``; a text without findings may be applied."""
     try:
         value = parse_json_text(subject, text)
     except CheckFailed as failed:
@@ -22,7 +22,7 @@
 
 
 def load_text(subject: str, text: str) -> Configuration:
-    """Return the typed form of ``text``; raise `CheckFailed` with all findings."""
+    """Return the typed form of ``text``; raise `CheckFailed` if it has findings."""
     findings = check_text(subject, text)
     if findings:
         raise CheckFailed.from_findings(subject, findings)
@@ -30,10 +30,11 @@
 
 
 def load_accepted_text(subject: str, text: str) -> Configuration:
-    """Return the typed form of a text that was checked before; raise `CheckFailed`.
+    """Return the typed form of a text that was checked before, without another check.
 
-    Every instance reads every accepted version. At 860 models the check takes
-    twenty times as long as the rest, and its validator 8 MB.
+    Every instance reads every accepted version. With 860 models the check takes twenty
+    times as long as the rest, and its validator takes 8 MB. Raises `CheckFailed` if this
+    release cannot read the text.
     """
     value = parse_json_text(subject, text)
     try:
--- a/packages/redwingscale-common/src/redwingscale_common/configuration/configuration.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/configuration.py
@@ -1,4 +1,4 @@
-"""The typed form of one accepted operators' text."""
+"""The typed form of an accepted configuration text."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class Configuration(NamedTuple):
-    """Everything an instance needs from the text, keyed for look-up."""
+    """The configuration that an instance runs with, keyed for look-up."""
 
     deployment: str
     policy: Policy
@@ -21,7 +21,7 @@
     services_by_name: dict[str, Service]
 
     def serving_units(self) -> dict[Unit, int]:
-        """Return what must be resident to answer every listed model: unit to bytes."""
+        """Return the size in bytes of each unit that must be resident to serve all listed models."""
         units: dict[Unit, int] = {}
         for model in self.models_by_name.values():
             version = model.versions_by_name[model.serving]
--- a/packages/redwingscale-common/src/redwingscale_common/configuration/diff.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/diff.py
@@ -1,4 +1,4 @@
-"""The difference of two operators' texts, by JSON place."""
+"""Compares two configuration texts by JSON path."""
 
 import json
 import re
@@ -9,7 +9,7 @@
 
 
 class Change(NamedTuple):
-    """A value that differs; ``before`` or ``after`` is None where there is none."""
+    """A value that differs; ``before`` or ``after`` is None if the value is absent there."""
 
     place: str
     before: Any
@@ -17,23 +17,23 @@
 
     @property
     def kind(self) -> str:
-        """``added``, ``removed`` or ``changed``."""
+        """The kind of change: ``added``, ``removed`` or ``changed``."""
         if self.before is None:
             return "added"
         return "removed" if self.after is None else "changed"
 
     def render(self) -> str:
-        """Return one line for a person."""
+        """Return the change as one line of text for users."""
         if self.kind == "changed":
             return f"{self.place}: {json.dumps(self.before)} -> {json.dumps(self.after)}"
         return f"{self.place}: {self.kind}"
 
 
 def diff_texts(before: str, after: str) -> list[Change]:
-    """Return what ``after`` changes in ``before``; both are JSON objects or empty.
+    """Return the changes from ``before`` to ``after``, each a JSON object or an empty text.
 
-    Objects are compared name by name; a list is one value. A null counts as absent:
-    the schema of the text has none.
+    Objects are compared key by key, lists as a whole. A null counts as absent, since the
+    configuration's schema allows no null.
     """
     return list(_changes("$", json.loads(before or "{}"), json.loads(after or "{}")))
 
--- a/packages/redwingscale-common/src/redwingscale_common/configuration/model.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/model.py
@@ -1,24 +1,24 @@
-"""Models with their versions and adapters."""
+"""Models in the configuration, with their versions and adapters."""
 
 from typing import NamedTuple
 
 
 class ModelVersion(NamedTuple):
-    """One set of weights; ``size_bytes`` is its size in accelerator memory."""
+    """One set of weights of a model; ``size_bytes`` is its size in accelerator memory."""
 
     name: str
     size_bytes: int
 
 
 class Adapter(NamedTuple):
-    """Weights beside a model's own; resident only where its model is."""
+    """Additional weights for a model; an adapter is resident only where its model is."""
 
     name: str
     size_bytes: int
 
 
 class Model(NamedTuple):
-    """A listed model; ``serving`` names the version that answers callers."""
+    """A model; ``serving`` names the version that serves the callers' requests."""
 
     name: str
     serving: str
--- a/packages/redwingscale-common/src/redwingscale_common/configuration/policy.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/policy.py
@@ -1,13 +1,14 @@
-"""Operators' weights and the limits of what the system runs on."""
+"""The operators' placement policy and the limits of the weight store."""
 
 from typing import NamedTuple
 
 
 class Policy(NamedTuple):
-    """``moves_weight`` in [0, 1]: 0 only minds attainment, 1 only moves.
+    """Parameters of the placement planner.
 
-    ``cache_share`` is the part of an engine's memory that stays free of
-    weights, for the cache of running requests.
+    ``moves_weight`` in [0, 1] weighs few moves against attainment: at 0 only attainment
+    counts, at 1 only the number of moves. ``cache_share`` is the fraction of an engine's
+    memory that is kept free of weights, for the cache of running requests.
     """
 
     moves_weight: float
@@ -15,7 +16,11 @@
 
 
 class WeightStore(NamedTuple):
-    """The store's limits: loads started a second, loads at once at full speed."""
+    """Limits of the weight store.
+
+    ``loads_per_second`` limits how many loads may start; ``concurrent_loads`` is how many
+    can run at once at full speed.
+    """
 
     loads_per_second: float
     concurrent_loads: int
--- a/packages/redwingscale-common/src/redwingscale_common/configuration/schema.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/schema.py
@@ -1,4 +1,4 @@
-"""The JSON Schema of the operators' text."""
+"""The JSON Schema of the configuration text."""
 
 from typing import Any
 
--- a/packages/redwingscale-common/src/redwingscale_common/configuration/service.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/service.py
@@ -1,11 +1,11 @@
-"""Services: what callers rely on, and what each depends on."""
+"""Services that callers use, and the models that each depends on."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
 
 class Dependency(NamedTuple):
-    """A model of a service and the adapters that the service uses on it."""
+    """A model that a service uses, and the adapters of the model that it uses."""
 
     model: str
     adapters: tuple[str, ...]
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelService:
-    """A service answered by models on engines."""
+    """A service that models on engines serve."""
 
     name: str
     callers: frozenset[str]
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlainService:
-    """A service answered by plain upstreams that the platform lists by its name."""
+    """A service that plain upstreams serve; the platform lists them under the service's name."""
 
     name: str
     callers: frozenset[str]
--- a/packages/redwingscale-common/src/redwingscale_common/configuration/unit.py
+++ b/packages/redwingscale-common/src/redwingscale_common/configuration/unit.py
@@ -1,10 +1,10 @@
-"""The unit of residence: what an engine loads and unloads by one order."""
+"""The unit of weights that an engine loads or unloads by one order."""
 
 from typing import NamedTuple
 
 
 class Unit(NamedTuple):
-    """A model version, or an adapter on top of one (``adapter`` not empty)."""
+    """A model version or, if ``adapter`` is not empty, an adapter of that version."""
 
     model: str
     version: str
@@ -16,12 +16,15 @@
 
     @property
     def base(self) -> "Unit":
-        """The model version that an adapter needs; a model version itself."""
+        """The model version that an adapter needs; for a model version, the unit itself."""
         return Unit(self.model, self.version)
 
     @classmethod
     def parse(cls, text: str) -> "Unit":
-        """Parse ``model@version`` or ``model@version:adapter``; raise ValueError."""
+        """Parse ``model@version`` or ``model@version:adapter``.
+
+        Raises `ValueError` if ``text`` has another form.
+        """
         head, _, adapter = text.partition(":")
         model, separator, version = head.partition("@")
         if not (model and separator and version):
--- a/packages/redwingscale-common/tests/unit/test_check_text.py
+++ b/packages/redwingscale-common/tests/unit/test_check_text.py
@@ -1,4 +1,4 @@
-"""Findings of the operators' text."""
+"""Findings of the check of the configuration text."""
 
 import json
 
@@ -11,11 +11,11 @@
     return json.loads(izmir_text)
 
 
-def places(value):
+def finding_places(value):
     return [finding.place for finding in check_text("text", json.dumps(value))]
 
 
-def test_the_example_has_no_finding(izmir_text):
+def test_example_has_no_findings(izmir_text):
     assert check_text("izmir", izmir_text) == []
 
 
@@ -24,23 +24,23 @@
     text["services"]["listing-vetting"]["callers"].append("nobody")
     text["services"]["office-work"]["depends_on"][0]["adapters"].append("none")
 
-    assert places(text) == [
+    assert finding_places(text) == [
         "$.models.listing-vetter.serving",
         "$.services.listing-vetting.callers[1]",
         f"$.services.office-work.depends_on[0].adapters[{len(text['services']['office-work']['depends_on'][0]['adapters']) - 1}]",
     ]
 
 
-def test_unknown_keys_and_wrong_types_have_their_place(text):
+def test_unknown_keys_and_wrong_types_are_reported_with_their_place(text):
     text["models"]["listing-vetter"]["colour"] = "red"
     text["callers"]["clerks"]["share"] = "many"
 
-    assert places(text) == ["$.callers.clerks.share", "$.models['listing-vetter']"]
+    assert finding_places(text) == ["$.callers.clerks.share", "$.models['listing-vetter']"]
 
 
-def test_a_name_that_stands_twice_is_found():
+def test_duplicate_key_is_found():
     assert "stands twice" in check_text("text", '{"callers": {}, "callers": {}}')[0].message
 
 
-def test_broken_json_has_line_and_column():
+def test_malformed_json_is_reported_with_line_and_column():
     assert check_text("text", "{\n  oops")[0].place == "line 2 column 3"
--- a/packages/redwingscale-common/tests/unit/test_diff_texts.py
+++ b/packages/redwingscale-common/tests/unit/test_diff_texts.py
@@ -1,4 +1,4 @@
-"""The difference of two texts."""
+"""The changes between two configuration texts."""
 
 import json
 
@@ -14,7 +14,7 @@
 OBJECTS = st.dictionaries(st.text(), VALUES)
 
 
-def test_each_difference_has_its_place(izmir_text):
+def test_each_change_is_reported_with_its_place(izmir_text):
     value = json.loads(izmir_text)
     sizes = value["models"]["listing-vetter"]["versions"]["v1"]
     before = sizes["size_bytes"]
@@ -33,7 +33,7 @@
     assert changes[1].render() == f"{place}: {before} -> 1"
 
 
-def test_the_first_text_is_all_added():
+def test_all_values_are_added_to_an_empty_text():
     assert diff_texts("", '{"a": [1]}') == [Change("$.a", None, [1])]
 
 
