--- a/packages/redwingscale-cli/src/redwingscale_cli/__init__.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/__init__.py
@@ -1,1 +1,1 @@
-"""redwingscale: the operators' client."""
+"""The operators' command line client ``redwingscale``."""
--- a/packages/redwingscale-cli/src/redwingscale_cli/__main__.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of ``redwingscale``."""
+"""Entry point of the ``redwingscale`` command."""
 
 
 def main() -> None:
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/__init__.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/__init__.py
@@ -1,1 +1,1 @@
-"""The client; import nothing from here outside the package."""
+"""Implementation of the client; not for import from other packages."""
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/__init__.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: parser, base command, status codes."""
+"""The command line: options, dispatch of commands, output and exit codes."""
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/app.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/app.py
@@ -1,4 +1,4 @@
-"""The parser of ``redwingscale``: options, help with examples, dispatch."""
+"""The command line of ``redwingscale``: its commands, their options and their help."""
 
 from pathlib import Path
 from typing import Annotated
@@ -13,32 +13,32 @@
     no_args_is_help=True,
     help="Operates a redwingscale deployment through any of its instances.",
 )
-config = typer.Typer(no_args_is_help=True, help="The operators' text.")
+config = typer.Typer(no_args_is_help=True, help="Check, apply and show the configuration.")
 app.add_typer(config, name="config")
 
 Instance = Annotated[str, typer.Option(help="Operators' URL of any instance.")]
 Token = Annotated[str, typer.Option(help="Operators' token (better: REDWINGSCALE_TOKEN).")]
 AsJson = Annotated[bool, typer.Option("--json", help="Print JSON.")]
-TextFile = Annotated[Path, typer.Argument(help="File with the operators' text.")]
+TextFile = Annotated[Path, typer.Argument(help="File with the configuration text.")]
 
 
 @app.callback()
 def options(
     context: typer.Context, instance: Instance = "", token: Token = "", as_json: AsJson = False
 ) -> None:
-    """Take the options that every command shares."""
+    """Read the options that all commands share."""
     context.obj = build_context(instance, token, as_json)
 
 
 def _shared(context: typer.Context, as_json: bool) -> CommandContext:
-    """Return the shared options; ``--json`` counts before and after the command."""
+    """Return the shared options; ``--json`` is valid before and after the command's name."""
     shared: CommandContext = context.obj
     return shared._replace(as_json=shared.as_json or as_json)
 
 
 @config.command("check")
 def config_check(context: typer.Context, file: TextFile, as_json: AsJson = False) -> None:
-    """Check a text; exit 1 when there are findings.
+    """Check a configuration text; exit 1 if there are findings.
 
     Example: redwingscale config check examples/izmir.json
     """
@@ -47,7 +47,7 @@
 
 @config.command("diff")
 def config_diff(context: typer.Context, file: TextFile, as_json: AsJson = False) -> None:
-    """Show what a text would change in the version in force.
+    """Show what a configuration text would change in the version in force.
 
     Example: redwingscale config diff next.json
     """
@@ -58,17 +58,17 @@
 def config_apply(
     context: typer.Context,
     file: TextFile,
-    base: Annotated[int, typer.Option(help="Version that the text was edited from.")] = -1,
+    base: Annotated[int, typer.Option(help="Version that the text is based on.")] = -1,
     author: Annotated[str, typer.Option(help="Name for the history.")] = "",
     wait: Annotated[float, typer.Option(help="Seconds to watch it come into force.")] = 14.0,
     as_json: AsJson = False,
 ) -> None:
-    """Put a text in force, then show instance by instance where it is in force.
+    """Put a configuration text in force and show the instances that apply it.
 
     Example: redwingscale config apply next.json --base 41 --author meral
 
-    Exit 4 when another operator's version came first: the difference is shown
-    and nothing is lost.
+    Exit 4 if another operator applied a version first: the difference is shown and
+    nothing is changed.
     """
     run_command("config apply", _shared(context, as_json), file, base, author, wait)
 
@@ -79,7 +79,7 @@
     version: Annotated[int, typer.Option(help="Version to show; 0 for the one in force.")] = 0,
     as_json: AsJson = False,
 ) -> None:
-    """Print the text in force, or an earlier one.
+    """Print the configuration text in force or an earlier one.
 
     Example: redwingscale config show --version 40 > old.json
     """
@@ -88,7 +88,7 @@
 
 @config.command("history")
 def config_history(context: typer.Context, as_json: AsJson = False) -> None:
-    """List the accepted versions, the newest first.
+    """List the accepted versions, newest first.
 
     Example: redwingscale config history
     """
@@ -98,12 +98,12 @@
 @config.command("rollback")
 def config_rollback(
     context: typer.Context,
-    version: Annotated[int, typer.Argument(help="Version whose text comes into force again.")],
+    version: Annotated[int, typer.Argument(help="Version whose text to apply again.")],
     author: Annotated[str, typer.Option(help="Name for the history.")] = "",
     wait: Annotated[float, typer.Option(help="Seconds to watch it come into force.")] = 14.0,
     as_json: AsJson = False,
 ) -> None:
-    """Put an earlier text in force again, as a new version.
+    """Apply the text of an earlier version as a new version.
 
     Example: redwingscale config rollback 40
     """
@@ -112,7 +112,7 @@
 
 @app.command()
 def status(context: typer.Context, as_json: AsJson = False) -> None:
-    """Show the instances: readiness, session, configuration version in force.
+    """Show the instances: readiness, session and configuration version in force.
 
     Example: redwingscale status
     """
@@ -121,7 +121,7 @@
 
 @app.command()
 def models(context: typer.Context, as_json: AsJson = False) -> None:
-    """Show the listed models: replicas, where, and their memory.
+    """Show the models: size, replicas and the engines where they are resident.
 
     Example: redwingscale models
     """
@@ -130,7 +130,7 @@
 
 @app.command()
 def upstreams(context: typer.Context, as_json: AsJson = False) -> None:
-    """Show the engines: memory, load, what is resident.
+    """Show the engines: memory, load and number of resident units.
 
     Example: redwingscale upstreams
     """
@@ -139,7 +139,7 @@
 
 @app.command()
 def moves(context: typer.Context, as_json: AsJson = False) -> None:
-    """Show the loads and unloads that were ordered lately.
+    """Show the most recent load and unload orders.
 
     Example: redwingscale moves --json
     """
@@ -152,7 +152,7 @@
     instance_id: Annotated[str, typer.Argument(help="Id of the instance to drain.")],
     as_json: AsJson = False,
 ) -> None:
-    """Make an instance finish its requests and end, as a SIGTERM does.
+    """Make an instance complete its requests and exit, as on SIGTERM.
 
     Example: redwingscale drain izmir-a1
     """
@@ -163,16 +163,16 @@
 def load(
     context: typer.Context,
     url: Annotated[list[str], typer.Option(help="Callers' URL; repeat for several instances.")],
-    caller_token: Annotated[str, typer.Option(help="Token of the caller to be.")],
+    caller_token: Annotated[str, typer.Option(help="Token of the caller to send as.")],
     model: Annotated[list[str], typer.Option(help="Model; repeat to spread over several.")],
     rate: Annotated[float, typer.Option(help="Requests a second.")] = 10.0,
-    seconds: Annotated[float, typer.Option(help="How long to send.")] = 10.0,
+    seconds: Annotated[float, typer.Option(help="Seconds for which requests are sent.")] = 10.0,
     max_tokens: Annotated[int, typer.Option(help="Tokens of each answer.")] = 32,
     deadline: Annotated[float, typer.Option(help="Deadline of each request, in seconds.")] = 5.0,
-    seed: Annotated[int, typer.Option(help="Seed of arrivals and prompts.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed for arrival times and prompts.")] = 1,
     as_json: AsJson = False,
 ) -> None:
-    """Send streamed requests; print attainment and latency percentiles.
+    """Send streamed requests and print attainment and latency percentiles.
 
     Example: redwingscale load --url http://10.0.0.7:8080 --caller-token TOKEN --model ocr
     """
@@ -197,7 +197,7 @@
     files: Annotated[list[Path], typer.Argument(help="Log files of all instances.")],
     as_json: AsJson = False,
 ) -> None:
-    """Explain one request from the logs of the instances.
+    """Show the log lines of all instances that concern a request.
 
     Example: redwingscale trace 9c41d07be2a35f68 logs/*.log
     """
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/base_command.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/base_command.py
@@ -1,4 +1,4 @@
-"""Runs a command: lazily imported, errors shown with cause, hint and exit code."""
+"""Imports and runs a command; prints its errors and sets the exit code."""
 
 import importlib
 from collections.abc import Callable
@@ -13,10 +13,10 @@
 
 
 def run_command(name: str, *arguments: Any) -> None:
-    """Import the module of command ``name`` and call its ``run`` with ``arguments``.
+    """Import the module of the command ``name`` and call its ``run`` with ``arguments``.
 
-    A module is imported only when its command runs: the load tool's histogram
-    library would otherwise slow every ``--help``.
+    The module is imported only now because the histogram library of the load tool would
+    otherwise slow down every command, including ``--help``.
     """
     run: Callable[..., None] = importlib.import_module(COMMANDS_BY_NAME[name]).run
     try:
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/command_table.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/command_table.py
@@ -1,4 +1,4 @@
-"""The one table of commands: name to the module that runs it."""
+"""The module that implements each command, by the command's name."""
 
 _COMMANDS = "redwingscale_cli._internal.commands"
 
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/context.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/context.py
@@ -1,4 +1,4 @@
-"""What every command shares: the instance to ask and the form of the output."""
+"""The options that all commands share."""
 
 import os
 from typing import NamedTuple
@@ -11,24 +11,24 @@
 
 
 class CommandContext(NamedTuple):
-    """Options of the command line that hold for all commands."""
+    """The instance to query, its token and the output format."""
 
     instance_url: str
     token: str
     as_json: bool
 
     def client(self) -> OperatorsClient:
-        """Return the client of the instance; raise `UsageError` when none is named."""
+        """Return a client of the instance; raise `UsageError` if no instance was given."""
         if not self.instance_url:
             raise UsageError(
-                "no instance is named",
-                hint=f"give --instance URL or set {INSTANCE_VARIABLE}",
+                "no instance was given",
+                hint=f"use --instance URL or set {INSTANCE_VARIABLE}",
             )
         return OperatorsClient(self.instance_url, self.token)
 
 
 def build_context(instance: str, token: str, as_json: bool) -> CommandContext:
-    """Return the context of the options, completed from the environment."""
+    """Return the context; the environment replaces options that were not given."""
     return CommandContext(
         instance_url=instance or os.environ.get(INSTANCE_VARIABLE, ""),
         token=token or os.environ.get(TOKEN_VARIABLE, ""),
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/output.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/cli/output.py
@@ -1,4 +1,4 @@
-"""Prints results: JSON for programs, aligned columns for people."""
+"""Prints results, as JSON or as a table with aligned columns."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 def print_table(header: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Print ``rows`` in columns under ``header``."""
+    """Print ``rows`` as aligned columns below ``header``."""
     lines = [tuple(header), *(tuple(str(cell) for cell in row) for row in rows)]
     widths = [max(len(line[i]) for line in lines) for i in range(len(header))]
     for line in lines:
@@ -22,5 +22,5 @@
 
 
 def print_progress(text: str) -> None:
-    """Print a line of progress to standard error, apart from the results."""
+    """Print a progress message to standard error; results go to standard output."""
     typer.echo(text, err=True)
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/__init__.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each command."""
+"""The commands, one module for each."""
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_apply.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_apply.py
@@ -13,7 +13,7 @@
 
 
 def run(context: CommandContext, file: Path, base: int, author: str, wait: float) -> None:
-    """Check the text here, put it in force, and show where it holds."""
+    """Check the text locally, apply it and show the instances where it is in force."""
     text = read_text(file)
     load_text(str(file), text)
     client = context.client()
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_check.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_check.py
@@ -12,7 +12,7 @@
 
 
 def run(context: CommandContext, file: Path) -> None:
-    """Print every finding of the text in ``file``; exit 1 when there is one."""
+    """Print all findings of the text in ``file``; exit 1 if there are any."""
     findings = check_text(str(file), read_text(file))
     if context.as_json:
         print_json([finding._asdict() for finding in findings])
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_history.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_history.py
@@ -7,7 +7,7 @@
 
 
 def run(context: CommandContext) -> None:
-    """Print the accepted versions, the newest first."""
+    """Print the accepted versions, newest first."""
     history = context.client().get("/configuration/history")
     if context.as_json:
         print_json(history)
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_show.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/config_show.py
@@ -8,7 +8,7 @@
 
 
 def run(context: CommandContext, version: int) -> None:
-    """Print the text of ``version``; 0 stands for the one in force."""
+    """Print the text of ``version``, or of the version in force if ``version`` is 0."""
     client = context.client()
     if version:
         current = {"version": version, "text": fetch_text(client, version)}
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/load.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/load.py
@@ -1,4 +1,4 @@
-"""``redwingscale load``: a small load tool."""
+"""``redwingscale load``, a load tool."""
 
 import typer
 
@@ -21,7 +21,7 @@
     deadline: float,
     seed: int,
 ) -> None:
-    """Send the load and print what it met."""
+    """Send the requests and print a summary of the results."""
     plan = LoadPlan(
         urls=tuple(url.rstrip("/") for url in urls),
         token=token,
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/models.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/models.py
@@ -7,7 +7,7 @@
 
 
 def run(context: CommandContext) -> None:
-    """Print each listed unit with its size and the engines where it answers."""
+    """Print each unit to serve with its size and the engines where it is resident."""
     models = context.client().get("/models")
     if context.as_json:
         print_json(models)
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/moves.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/moves.py
@@ -5,7 +5,7 @@
 
 
 def run(context: CommandContext) -> None:
-    """Print the loads and unloads that were ordered lately, the newest first."""
+    """Print the most recent load and unload orders, newest first."""
     moves = context.client().get("/moves")
     if context.as_json:
         print_json(moves)
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/status.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/status.py
@@ -8,7 +8,7 @@
 
 
 def run(context: CommandContext) -> None:
-    """Print every instance with its readiness and the version in force there."""
+    """Print all instances with their configuration version, then the queried one and the leases."""
     client = context.client()
     status = client.get("/status")
     versions = client.get("/configuration/in-force")
@@ -34,10 +34,10 @@
 
 
 def _leases(client: OperatorsClient) -> dict[str, Any]:
-    """Return the leases; none while the platform that keeps them does not answer."""
+    """Return the leases, none if the platform that stores them does not respond."""
     reply = client.call("GET", "/leases")
     if not reply.ok:
-        print_progress("leases are not shown: the platform does not answer")
+        print_progress("leases are not shown: the platform does not respond")
         return {}
     leases: dict[str, Any] = reply.value
     return leases
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/trace.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/trace.py
@@ -10,7 +10,7 @@
 
 
 def run(context: CommandContext, request: str, files: list[Path]) -> None:
-    """Print what the logs in ``files`` tell about ``request``."""
+    """Print the lines in the logs ``files`` that concern ``request``."""
     found = trace(request, files)
     if context.as_json:
         print_json(
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/upstreams.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/upstreams.py
@@ -10,7 +10,7 @@
 
 
 def run(context: CommandContext) -> None:
-    """Print each engine with its memory and load."""
+    """Print each engine with its state, memory use and load."""
     upstreams = context.client().get("/upstreams")
     if context.as_json:
         print_json(upstreams)
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/exceptions.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors that the client shows to its user, each with its exit code."""
+"""Errors that the client shows to its user, with their exit codes."""
 
 from redwingscale_common.exceptions import UserFacingError
 
@@ -6,30 +6,30 @@
 
 
 class ClientError(UserFacingError):
-    """Root of the client's errors; ``exit_code`` is what the process ends with."""
+    """Base class of the client's errors; the process exits with ``exit_code``."""
 
     exit_code = status_codes.REFUSED
 
 
 class Unreachable(ClientError):
-    """No answer from the instance."""
+    """The instance did not respond."""
 
     exit_code = status_codes.UNREACHABLE
 
 
 class Refused(ClientError):
-    """The instance answered that it will not do it."""
+    """The instance refused the request."""
 
     exit_code = status_codes.REFUSED
 
 
 class VersionConflict(ClientError):
-    """Another operator's version came first."""
+    """Another operator applied a version first."""
 
     exit_code = status_codes.CONFLICT
 
 
 class UsageError(ClientError):
-    """Arguments that do not fit together."""
+    """The arguments are invalid."""
 
     exit_code = status_codes.USAGE
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/models/__init__.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/models/__init__.py
@@ -1,1 +1,1 @@
-"""Small value types of the client."""
+"""Value types of the client."""
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/models/load_plan.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/models/load_plan.py
@@ -1,10 +1,13 @@
-"""What the load tool sends."""
+"""Parameters and requests of the load tool."""
 
 from typing import NamedTuple
 
 
 class LoadPlan(NamedTuple):
-    """Arrivals at ``rate`` a second for ``seconds``, spread over ``urls`` and ``models``."""
+    """Parameters of a load run: ``rate`` requests a second, sent for ``seconds``.
+
+    The requests are spread over ``urls`` and ``models``.
+    """
 
     urls: tuple[str, ...]
     token: str
@@ -17,7 +20,7 @@
 
 
 class Arrival(NamedTuple):
-    """One request, ``at_seconds`` after the start."""
+    """A request to be sent ``at_seconds`` after the start of the run."""
 
     at_seconds: float
     url: str
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/models/load_result.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/models/load_result.py
@@ -1,12 +1,13 @@
-"""What the load tool measured."""
+"""Measurements of the load tool."""
 
 from typing import NamedTuple
 
 
 class RequestResult(NamedTuple):
-    """One request; ``outcome`` is ``whole``, ``cut`` or a problem code.
+    """Result of one request; ``outcome`` is ``whole``, ``cut`` or a problem code.
 
-    Times are in seconds; ``first_token_seconds`` is 0 when none arrived.
+    ``whole`` is a complete response, ``cut`` one that ended early or failed to arrive.
+    ``first_token_seconds`` is 0 if no token arrived.
     """
 
     outcome: str
@@ -26,7 +27,10 @@
 
 
 class LoadReport(NamedTuple):
-    """Sums over all requests; ``attainment`` is the share answered whole in time."""
+    """Summary of all requests.
+
+    ``attainment`` is the fraction of requests with a complete response within the deadline.
+    """
 
     requests: int
     attainment: float
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/models/log_line.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/models/log_line.py
@@ -1,4 +1,4 @@
-"""One line of an instance's log."""
+"""Parses the lines of an instance's log."""
 
 import re
 from datetime import datetime
@@ -9,7 +9,10 @@
 
 
 class LogLine(NamedTuple):
-    """A parsed line; ``place`` is FILE:LINE, ``at`` the seconds on the instance's own clock."""
+    """A parsed log line.
+
+    ``place`` is FILE:LINE; ``at`` is the Unix time in seconds on the instance's own clock.
+    """
 
     place: str
     at: float
@@ -18,7 +21,7 @@
     fields: dict[str, str]
 
     def render_fields(self) -> str:
-        """Return the fields as they stand in the log, without time and instance."""
+        """Return the fields as key=value pairs, without those that are shown otherwise."""
         shown = (
             f"{key}={value}" for key, value in self.fields.items() if key not in _HIDDEN_FIELDS
         )
@@ -29,7 +32,7 @@
 
 
 def parse_line(text: str, place: str) -> LogLine | None:
-    """Return the line, None for text that is no event; what precedes the time is skipped."""
+    """Return the parsed line, None if ``text`` is not an event; text before the time is ignored."""
     start = text.find(_START)
     if start < 0:
         return None
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/__init__.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/__init__.py
@@ -1,1 +1,1 @@
-"""Calls of the instances."""
+"""HTTP clients of the instances."""
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/callers_client.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/callers_client.py
@@ -1,4 +1,4 @@
-"""Sends one streamed request as a caller and times its answer."""
+"""Sends streamed requests as a caller and measures the responses."""
 
 import time
 
@@ -17,7 +17,7 @@
 
 
 class CallersClient:
-    """One pool of connections to the callers' interface of all instances."""
+    """Client of the callers' HTTP API of all instances, with one connection pool."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self._plan = plan
@@ -28,7 +28,7 @@
         }
 
     def send(self, arrival: Arrival) -> RequestResult:
-        """Send one request and read its answer to the end."""
+        """Send the request of ``arrival`` and read the response to its end."""
         started = time.monotonic()
         body = {
             "model": arrival.model,
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/operators_client.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/operators_client.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' interface of one instance."""
+"""Client of the operators' HTTP API of one instance."""
 
 from typing import Any, NamedTuple
 
@@ -15,19 +15,19 @@
 
 
 class Reply(NamedTuple):
-    """Status and decoded JSON body of a call."""
+    """Status and decoded JSON body of a response."""
 
     status: int
     value: Any
 
     @property
     def ok(self) -> bool:
-        """Whether the instance did what was asked."""
+        """Whether the status reports success."""
         return self.status in SUCCESSFUL
 
 
 class OperatorsClient:
-    """Talks to the instance at ``url``; any instance serves every command."""
+    """Sends requests to the instance at ``url``; every instance serves all commands."""
 
     def __init__(self, url: str, token: str) -> None:
         self._url = url.rstrip("/")
@@ -35,15 +35,15 @@
         self._pool = new_pool(connections=4)
 
     def get(self, path: str) -> Any:
-        """Return the JSON answer; raise `Unreachable` or `Refused`."""
+        """Return the JSON body of the response; raise `Unreachable` or `Refused`."""
         return self._checked(self.call("GET", path), path)
 
     def post(self, path: str, body: object) -> Any:
-        """Send ``body`` and return the JSON answer; raise `Unreachable` or `Refused`."""
+        """Send ``body``; return the JSON body of the response or raise `Unreachable` or `Refused`."""
         return self._checked(self.call("POST", path, body), path)
 
     def call(self, method: str, path: str, body: object = None) -> Reply:
-        """Return the answer whatever its status; raise `Unreachable`."""
+        """Return the response with any status; raise `Unreachable` if there is none."""
         data = None if body is None else msgspec.json.encode(body)
         try:
             response = self._pool.request(
@@ -55,9 +55,9 @@
             )
         except urllib3.exceptions.HTTPError as error:
             raise Unreachable(
-                f"no answer: {error}",
+                f"no response: {error}",
                 context=self._url,
-                hint="name another instance with --instance; any of them serves every command",
+                hint="select another instance with --instance; every instance serves all commands",
             ) from error
         return Reply(response.status, _decoded(response.data))
 
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/__init__.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/__init__.py
@@ -1,1 +1,1 @@
-"""What several commands do."""
+"""Operations behind the commands."""
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/apply.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/apply.py
@@ -1,4 +1,4 @@
-"""What ``config apply`` and ``config rollback`` share."""
+"""Functions that ``config apply`` and ``config rollback`` share."""
 
 from typing import Any
 
@@ -17,7 +17,11 @@
 
 
 def require_accepted(reply: Reply, text: str) -> int:
-    """Return the new version; show findings or the other operator's text, and raise."""
+    """Return the accepted version in ``reply``.
+
+    Otherwise print the findings, or the difference to the version in force, and raise
+    `typer.Exit`, `VersionConflict` or `Refused`.
+    """
     if reply.status == CONFLICT:
         raise _conflict(reply.value, text)
     if reply.status == UNPROCESSABLE:
@@ -33,7 +37,7 @@
 def show_rollout(
     context: CommandContext, client: OperatorsClient, version: int, wait_seconds: float
 ) -> None:
-    """Watch ``version`` come into force and print where it is."""
+    """Wait until ``version`` is in force and print the instances where it is and is not."""
     rollout = watch_until_in_force(client, version, wait_seconds)
     if context.as_json:
         print_json(rollout._asdict())
@@ -43,7 +47,7 @@
         f" after {rollout.seconds:.1f} s"
     )
     for instance in rollout.behind:
-        typer.echo(f"not yet at {instance}; it takes the version as soon as it is reached")
+        typer.echo(f"not yet in force at {instance}; it applies the version once it is reachable")
 
 
 def _conflict(current: dict[str, Any], text: str) -> VersionConflict:
@@ -51,7 +55,7 @@
     for line in lines:
         typer.echo(line)
     return VersionConflict(
-        f"version {current['version']} by {current['author'] or 'unknown'} came first;"
+        f"version {current['version']} by {current['author'] or 'unknown'} was applied first;"
         " nothing was changed",
         hint=f"merge the difference above and apply with --base {current['version']}",
     )
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_arrivals.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_arrivals.py
@@ -1,4 +1,8 @@
-"""Seeded arrivals: exponential gaps, uniform choice of instance and model."""
+"""Generates the requests of a load run from a seed.
+
+The gaps between requests are exponentially distributed; instance and model are drawn
+uniformly.
+"""
 
 import itertools
 import random
@@ -11,7 +15,7 @@
 
 
 def generate_arrivals(plan: LoadPlan) -> Iterator[Arrival]:
-    """Yield the arrivals of ``plan`` in order of time; the same for the same seed."""
+    """Yield the arrivals of ``plan`` in order of time; equal plans give equal arrivals."""
     rng = random.Random(plan.seed)
     at_seconds = 0.0
     for number in itertools.count():
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_report.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_report.py
@@ -1,4 +1,4 @@
-"""Sums the results of a load run by HDR histograms."""
+"""Summarizes the results of a load run; percentiles come from HDR histograms."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 def build_report(run: LoadRun) -> LoadReport:
-    """Return the sums of ``run``."""
+    """Return the summary of ``run``."""
     results = run.results
     whole = [r for r in results if r.outcome == "whole"]
     refused = [r for r in results if r.outcome not in ("whole", "cut")]
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_run.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_run.py
@@ -1,4 +1,4 @@
-"""Sends arrivals at their times, whatever the answers take (an open loop)."""
+"""Sends requests at their arrival times, however long the responses take (an open loop)."""
 
 import time
 from concurrent.futures import Future, ThreadPoolExecutor
@@ -15,14 +15,14 @@
 
 
 class LoadRun(NamedTuple):
-    """All results and how long the run took, in seconds."""
+    """The results of all requests and the duration of the run."""
 
     results: list[RequestResult]
     seconds: float
 
 
 def run_load(plan: LoadPlan) -> LoadRun:
-    """Send all arrivals of ``plan`` and wait for their answers."""
+    """Send all requests of ``plan`` and wait for their responses."""
     client = CallersClient(plan)
     started = time.monotonic()
     next_progress = PROGRESS_SECONDS
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/text_diff.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/text_diff.py
@@ -1,13 +1,13 @@
-"""The difference of two operators' texts, line by line."""
+"""Line-by-line difference between two configuration texts."""
 
 import difflib
 import json
 
 
 def diff_lines(old: str, new: str, old_name: str, new_name: str) -> list[str]:
-    """Return a unified diff of both texts, brought into one layout first.
+    """Return a unified diff of the two texts after formatting both in the same way.
 
-    Layout and the order of keys carry no meaning, so they make no difference.
+    Layout and the order of keys have no meaning and are not part of the difference.
     """
     return list(
         difflib.unified_diff(
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/text_file.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/text_file.py
@@ -1,4 +1,4 @@
-"""Reads the file of an operators' text."""
+"""Reads a file with a configuration text."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 
 
 def read_text(file: Path) -> str:
-    """Return the text in ``file``; raise `CheckFailed` when it cannot be read."""
+    """Return the text in ``file``; raise `CheckFailed` if it cannot be read."""
     try:
         return file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/trace.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/trace.py
@@ -1,4 +1,4 @@
-"""Joins the lines of several instances for one request."""
+"""Collects the log lines of several instances that concern one request."""
 
 from collections.abc import Iterable, Iterator
 from itertools import groupby
@@ -8,9 +8,9 @@
 from redwingscale_cli._internal.exceptions import ClientError
 from redwingscale_cli._internal.models.log_line import LogLine, parse_line
 
-# Events that end a request, and so name the decision that did.
+# Events that end a request; their fields state why it ended.
 ENDS = frozenset({"request_ended", "caller_left", "request_malformed"})
-# What other instances did for the unit that the request asked for, or to its upstream.
+# Events at any instance that concern the request's unit or upstream, or the whole deployment.
 CONTEXT = frozenset(
     {
         "swap_planned",
@@ -26,24 +26,27 @@
         "store_regained",
     }
 )
-# Clocks of instances may differ by seconds, and a load takes some.
+# The clocks of instances may differ by seconds, and a model takes seconds to load.
 CONTEXT_SECONDS = 10.0
-_REQUEST_NOT_FOUND = "no line of this request; were the logs of all instances given?"
+_REQUEST_NOT_FOUND = "no log line of this request; give the logs of all instances"
 
 
 class Trace(NamedTuple):
-    """The request's own lines, and those of others that explain them; each in log order."""
+    """The request's own log lines and the related ones in ``context``, each in log order."""
 
     own: tuple[LogLine, ...]
     context: tuple[LogLine, ...]
 
     def end(self) -> LogLine | None:
-        """Return the line of the decision that ended the request, None if it is not there."""
+        """Return the line of the event that ended the request, None if the logs lack it."""
         return next((line for line in reversed(self.own) if line.event in ENDS), None)
 
 
 def trace(request: str, files: Iterable[Path]) -> Trace:
-    """Return what the logs in ``files`` tell about ``request``; raise `ClientError`."""
+    """Return the lines in the logs ``files`` that concern ``request``.
+
+    Raises `ClientError` if a file cannot be read or no line has the request's id.
+    """
     lines = [line for file in files for line in read_lines(file)]
     own = tuple(line for line in lines if line.fields.get("request") == request)
     if not own:
@@ -52,7 +55,7 @@
 
 
 def read_lines(file: Path) -> Iterator[LogLine]:
-    """Yield the events in ``file``; other text is passed over."""
+    """Yield the events in ``file``; other lines are skipped."""
     try:
         text = file.read_text(encoding="utf-8", errors="replace")
     except OSError as error:
@@ -64,11 +67,12 @@
 
 
 def render(found: Trace) -> Iterator[str]:
-    """Yield the trace as text.
+    """Yield the lines of the trace as text.
 
-    Times count from the request's first line at each instance, on that
-    instance's clock: lines of two instances are never put in one order, as
-    their clocks may differ by more than the request lasted.
+    The request's own lines have times relative to its first line at the same instance, on
+    that instance's clock; context lines have times relative to the request's first line of
+    all. Lines of two instances are not merged into one order, since their clocks may differ
+    by more than the duration of the request.
     """
     for instance, lines in groupby(found.own, key=lambda line: line.instance):
         listed = list(lines)
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/watch.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/watch.py
@@ -1,4 +1,4 @@
-"""Watches a version come into force, instance by instance."""
+"""Waits until a configuration version is in force at all instances."""
 
 import time
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class Rollout(NamedTuple):
-    """Where a version is in force after ``seconds``; ``behind`` lists the others."""
+    """The instances where a version is in force after ``seconds``; ``behind`` lists the others."""
 
     version: int
     seconds: float
@@ -19,7 +19,7 @@
 
 
 def watch_until_in_force(client: OperatorsClient, version: int, wait_seconds: float) -> Rollout:
-    """Poll until ``version`` is in force at every listed instance or the time is up."""
+    """Poll until ``version`` is in force at every listed instance or ``wait_seconds`` have passed."""
     started = time.monotonic()
     shown: set[str] = set()
     while True:
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/utils/__init__.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers, one topic a module."""
+"""Helper functions, one module for each topic."""
--- a/packages/redwingscale-cli/tests/functional/test_operators_session.py
+++ b/packages/redwingscale-cli/tests/functional/test_operators_session.py
@@ -1,4 +1,4 @@
-"""An operator's session against a deployment of real processes."""
+"""An operator's session with a deployment of real processes."""
 
 import json
 
@@ -22,7 +22,7 @@
 
 
 class Session:
-    """Commands against one instance, and the text that they edit."""
+    """Runs commands against any instance and keeps the configuration text that they apply."""
 
     def __init__(self, deployment, text, directory):
         self.deployment = deployment
@@ -38,7 +38,7 @@
         return CliRunner().invoke(app, [*shared, *(str(a) for a in arguments)])
 
     def read(self, instance, *arguments):
-        """Return the JSON that a command prints."""
+        """Return the JSON output of a command that must succeed."""
         result = self.run(instance, *arguments, "--json")
         assert result.exit_code == 0, result.output
         return json.loads(result.stdout)
@@ -63,7 +63,7 @@
     history = session.read("two", "config", "history")
     shown = json.loads(session.read("two", "config", "show")["text"])
     session.client.wait_for(
-        # The last 50 moves of an engine are kept, and this engine makes 77.
+        # The last 50 moves of an engine are stored, and this engine makes 77.
         lambda: len(session.read("two", "moves")) == MAX_MOVES_PER_ENGINE,
         "the last moves",
     )
@@ -82,11 +82,11 @@
         assert session.run("two", command).exit_code == 0
 
 
-def test_the_operator_who_comes_second_gets_the_difference(session):
+def test_second_operator_gets_the_difference(session):
     """Two operators edit the same version; the second applies after the first.
 
-    The second must not undo the first's edit without a word: it is told which
-    version came first and what differs, and nothing changes.
+    The second must not silently undo the edit of the first: it is refused, with the version
+    that was applied first and the difference, and nothing changes.
     """
     assert session.apply("one", moves_weight=0.3).exit_code == 0
     assert session.apply("one", "--base", "1", moves_weight=0.4).exit_code == 0
@@ -114,13 +114,13 @@
     assert report["tokens"] == 4 * report["requests"] > 0
 
 
-def test_a_drain_order_ends_only_the_named_instance(session):
+def test_drain_request_ends_only_the_named_instance(session):
     session.apply("one", moves_weight=0.3)
-    # An order goes to the process that is known now; before "one" has heard of
-    # "two", it rightly says that it knows no such instance.
+    # A drain request names a process that the instance knows: until "one" has received
+    # gossip from "two", it refuses the request as for an unknown instance.
     session.client.wait_for(
         lambda: session.read("one", "status")["version_by_instance"].get("two") == 1,
-        "word of two",
+        "gossip from two",
     )
 
     assert session.run("one", "drain", "two").exit_code == 0
--- a/packages/redwingscale-cli/tests/unit/test_commands.py
+++ b/packages/redwingscale-cli/tests/unit/test_commands.py
@@ -43,7 +43,7 @@
     assert "cannot be read" in result.output
 
 
-def test_without_an_instance_the_hint_names_the_variable(run, monkeypatch):
+def test_hint_names_the_variable_if_no_instance_is_given(run, monkeypatch):
     monkeypatch.delenv("REDWINGSCALE_INSTANCE", raising=False)
 
     result = run("status")
@@ -52,7 +52,7 @@
     assert "REDWINGSCALE_INSTANCE" in result.output
 
 
-def test_an_instance_that_does_not_answer_has_its_own_code(run):
+def test_unreachable_instance_has_its_own_exit_code(run):
     assert run("--instance", "http://127.0.0.1:1", "status").exit_code == 5
 
 
--- a/packages/redwingscale-cli/tests/unit/test_load_report.py
+++ b/packages/redwingscale-cli/tests/unit/test_load_report.py
@@ -1,4 +1,4 @@
-"""The load tool's arrivals and sums."""
+"""Arrivals and report of the load tool."""
 
 import itertools
 
@@ -11,7 +11,7 @@
 PLAN = LoadPlan(("u1", "u2"), "token", ("m1", "m2"), 50.0, 2.0, 8, 1.0, seed=7)
 
 
-def test_arrivals_are_seeded_ordered_and_end():
+def test_arrivals_are_seeded_ordered_and_finite():
     first, second = list(generate_arrivals(PLAN)), list(generate_arrivals(PLAN))
 
     assert first == second
@@ -19,7 +19,7 @@
     assert 60 < len(first) < 150
 
 
-def test_attainment_counts_only_whole_answers_in_time():
+def test_attainment_counts_only_complete_responses_within_the_deadline():
     results = [
         RequestResult("whole", 0.1, (0.01, 0.02), 0.2, True),
         RequestResult("whole", 0.1, (0.01,), 2.0, False),
--- a/packages/redwingscale-cli/tests/unit/test_trace.py
+++ b/packages/redwingscale-cli/tests/unit/test_trace.py
@@ -1,4 +1,4 @@
-"""The way from a request's id to its cause."""
+"""Collecting the log lines of a request by its id."""
 
 import pytest
 from redwingscale_cli._internal.exceptions import ClientError
@@ -42,13 +42,13 @@
         trace("r9", logs)
 
 
-def test_missing_file_is_named(tmp_path):
+def test_error_names_the_missing_file(tmp_path):
     with pytest.raises(ClientError, match="gone.log"):
         trace("r1", [tmp_path / "gone.log"])
 
 
 @pytest.mark.parametrize("text", ["", "no event", "time=yesterday event=x", "time="])
-def test_text_that_is_no_event_is_passed_over(text):
+def test_text_that_is_not_an_event_is_skipped(text):
     assert parse_line(text, "f:1") is None
 
 
