--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/status.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/commands/status.py
@@ -16,16 +16,16 @@
     if context.as_json:
         print_json({"asked": status, "version_by_instance": versions, "lease_by_name": leases})
         return
-    asked = status["instance"]["id"]
+    queried = status["instance"]["id"]
     rows = [
-        (instance, version, _format_silence(instance, asked, status["peers"]))
+        (instance, version, _format_silence(instance, queried, status["peers"]))
         for instance, version in sorted(versions.items())
     ]
     print_table(("INSTANCE", "VERSION", "LAST HEARD"), rows)
     state = "ready" if status["ready"] else f"not ready: {status['reason']}"
     session = "valid" if status["session_valid"] else "not valid"
     print_table(
-        ("ASKED", "STATE", "OPEN", "SESSION"), [(asked, state, status["open_requests"], session)]
+        ("ASKED", "STATE", "OPEN", "SESSION"), [(queried, state, status["open_requests"], session)]
     )
     print_table(
         ("LEASE", "HOLDER", "FENCE"),
@@ -43,8 +43,8 @@
     return leases
 
 
-def _format_silence(instance: str, asked: str, peers: dict[str, float | None]) -> str:
-    if instance == asked:
+def _format_silence(instance: str, queried: str, peers: dict[str, float | None]) -> str:
+    if instance == queried:
         return "asked"
     seconds = peers.get(instance)
     return "never" if seconds is None else f"{seconds:.1f} s ago"
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/callers_client.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/callers_client.py
@@ -53,23 +53,23 @@
 
     def _read(self, response: urllib3.BaseHTTPResponse, started: float) -> RequestResult:
         times: list[float] = []
-        whole = False
+        complete = False
         buffer = b""
         for chunk in response.stream(decode_content=False):
             buffer += chunk
             *events, buffer = buffer.split(EVENT_END)
             now = time.monotonic()
             times += [now for event in events if event.startswith(TOKEN_EVENT)]
-            whole = whole or any(event.startswith(DONE_EVENT) for event in events)
+            complete = complete or any(event.startswith(DONE_EVENT) for event in events)
         response.release_conn()
         total = time.monotonic() - started
         tokens = times[:-1]
         return RequestResult(
-            outcome="whole" if whole else "cut",
+            outcome="whole" if complete else "cut",
             first_token_seconds=tokens[0] - started if tokens else 0.0,
             gaps_seconds=tuple(b - a for a, b in zip(tokens, tokens[1:], strict=False)),
             total_seconds=total,
-            in_time=whole and total <= self._plan.deadline_seconds,
+            in_time=complete and total <= self._plan.deadline_seconds,
         )
 
 
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_report.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_report.py
@@ -18,7 +18,7 @@
 def build_report(run: LoadRun) -> LoadReport:
     """Return the summary of ``run``."""
     results = run.results
-    whole = [r for r in results if r.outcome == "whole"]
+    complete = [r for r in results if r.outcome == "whole"]
     refused = [r for r in results if r.outcome not in ("whole", "cut")]
     tokens = sum(len(r.gaps_seconds) + bool(r.first_token_seconds) for r in results)
     return LoadReport(
@@ -27,8 +27,8 @@
         count_by_outcome=dict(Counter(r.outcome for r in results)),
         tokens=tokens,
         tokens_per_second=round(tokens / max(run.seconds, 1e-9), 1),
-        first_token_ms=_percentiles(r.first_token_seconds for r in whole),
-        token_gap_ms=_percentiles(gap for r in whole for gap in r.gaps_seconds),
+        first_token_ms=_percentiles(r.first_token_seconds for r in complete),
+        token_gap_ms=_percentiles(gap for r in complete for gap in r.gaps_seconds),
         refusal_ms=_percentiles(r.total_seconds for r in refused),
     )
 
