--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
@@ -100,7 +100,9 @@
         findings = check_text("configuration", text)
         if findings:
             return _findings_response(findings)
-        fit = memory_fit(load_accepted_text("configuration", text), self._directory.engines())
+        fit = compute_memory_fit(
+            load_accepted_text("configuration", text), self._directory.engines()
+        )
         problem = fit.problem()
         if problem and fit.conclusive:
             return _findings_response([Finding("$.models", problem)], fit)
@@ -115,7 +117,7 @@
                 log_event("configuration_conflict", base_version=base_version, author=author)
                 return json_response(self._conflict(text, base_version, lost), CONFLICT)
 
-    def _conflict(self, text: str, base_version: int, lost: Lost) -> dict[str, Any]:
+    def _conflict(self, text: str, base_version: int, lost: ApplyConflict) -> dict[str, Any]:
         """Return the version in force and two differences, so that no operator's edit is lost.
 
         ``difference`` lists the changes from the version in force to the refused text,
