--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/alder.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/alder.py
@@ -13,8 +13,8 @@
     admin,
     event_stream,
     lose_order_reply,
-    need,
-    refuse_if_told,
+    refuse_if_set,
+    require,
 )
 from redwingscale_standins.engine.orders import Order, StaleFence
 from redwingscale_standins.engine.streams import Token, Work
@@ -50,8 +50,8 @@
         raise cherrypy.NotFound()
 
     def _generate(self, body: dict[str, Any]) -> Iterator[bytes]:
-        refuse_if_told(self._engine)
-        need(self._engine.memory.is_ready(body["model"]), 404, "model is not resident")
+        refuse_if_set(self._engine)
+        require(self._engine.memory.is_ready(body["model"]), 404, "model is not resident")
         work = Work(
             attempt=body["request"],
             unit=body["model"],
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/birch.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/birch.py
@@ -13,8 +13,8 @@
     admin,
     event_stream,
     lose_order_reply,
-    need,
-    refuse_if_told,
+    refuse_if_set,
+    require,
 )
 from redwingscale_standins.engine.orders import Order
 from redwingscale_standins.engine.streams import Token, Work
@@ -50,8 +50,8 @@
         raise cherrypy.NotFound()
 
     def _generate(self, body: dict[str, Any]) -> Iterator[bytes]:
-        refuse_if_told(self._engine)
-        need(self._engine.memory.is_ready(body["slot"]), 409, "no such slot")
+        refuse_if_set(self._engine)
+        require(self._engine.memory.is_ready(body["slot"]), 409, "no such slot")
         work = Work(
             attempt=body["id"],
             unit=body["slot"],
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/handler.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/handler.py
@@ -44,7 +44,7 @@
     return body()
 
 
-def refuse_if_told(engine: Engine) -> None:
+def refuse_if_set(engine: Engine) -> None:
     """Answer 503 while the switch ``refuse`` is on: nothing was run."""
     if engine.faults.refuse:
         raise cherrypy.HTTPError(503, "refused, not run")
@@ -56,7 +56,7 @@
         drop_connection()
 
 
-def need(condition: Any, status: int, message: str) -> None:
+def require(condition: Any, status: int, message: str) -> None:
     """Raise ``status`` unless ``condition`` holds."""
     if not condition:
         raise cherrypy.HTTPError(status, message)
