--- a/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/unit/fleet/test_rate_limits.py
@@ -19,10 +19,10 @@
         History(
             instances=draw.choice(instances),
             rate=draw.choice([0.0, 0.4, 1.0, 2.5, 10.0]),
-            asked=draw.choice([1.0, 4.0, 12.0]),
-            lost_part=draw.choice(lost_fractions),
-            giver_ends_at=draw.choice(leader_ends_at),
-            next_giver_after=draw.choice([0.25, 1.0, 5.0]),
+            offered=draw.choice([1.0, 4.0, 12.0]),
+            lost_fraction=draw.choice(lost_fractions),
+            leader_ends_at=draw.choice(leader_ends_at),
+            next_leader_after=draw.choice([0.25, 1.0, 5.0]),
             seed=draw.randrange(10_000),
         )
         for _ in range(HISTORIES)
@@ -60,8 +60,10 @@
 
 def test_many_instances_keep_a_rate_limit_when_the_load_rises_as_it_is_advertised():
     # Guards against an excess of requests before the instances learn of a limit.
-    assert exceeded([History(67, 1.0, asked=30.0)]) == []
-    histories = [History(n, 1.0, asked=30.0, seed=seed) for n in (24, 67) for seed in range(2, 12)]
+    assert exceeded([History(67, 1.0, offered=30.0)]) == []
+    histories = [
+        History(n, 1.0, offered=30.0, seed=seed) for n in (24, 67) for seed in range(2, 12)
+    ]
     assert exceeded(histories) == []
 
 
@@ -69,7 +71,7 @@
 @pytest.mark.parametrize("rate", [1.0, 4.0])
 def test_rate_limit_is_used_up_by_the_instances_that_get_requests(instances, rate):
     # Guards against limits that are divided evenly while few instances get requests.
-    model = RateModel(History(instances, rate, asked=30.0, ends_at=30.0, until=30.0)).run()
+    model = RateModel(History(instances, rate, offered=30.0, ends_at=30.0, until=30.0)).run()
     used = model.sent_between(10.0, 30.0) / 20.0
     assert 0.7 * rate <= used <= 1.05 * rate
 
@@ -77,7 +79,7 @@
 @pytest.mark.parametrize("instances", [1, 6, 67])
 def test_upstream_gets_all_requests_when_its_limit_has_ended(instances):
     # Guards against a limit whose end no instance detects.
-    model = RateModel(History(instances, 1.0, asked=8.0, until=24.0)).run()
+    model = RateModel(History(instances, 1.0, offered=8.0, until=24.0)).run()
     assert model.sent_between(18.0, 24.0) >= 8.0 * 6 * 0.8
 
 
--- a/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
@@ -13,14 +13,14 @@
 from redwingscale_standins.rate_limits.rule import NOTICE_SECONDS, WINDOW_SECONDS, most_allowed
 
 STEP_SECONDS = 0.05
-NEWS_STEPS = 5
+UPDATE_STEPS = 5
 # After which instances take an order giver for lost.
 SILENT_SECONDS = 0.5
 ANSWER_STEPS = 2
 UPSTREAM = "u"
-PATIENCE_SECONDS = 2.0
+MAX_WAIT_SECONDS = 2.0
 # An instance is told by an answer that it has passed on this long ago.
-TOLD_SECONDS = 0.5
+INFORMED_SECONDS = 0.5
 
 
 class History(NamedTuple):
@@ -31,11 +31,11 @@
 
     instances: int
     rate: float
-    asked: float
-    asked_before: float = 8.0
-    lost_part: float = 0.0
-    giver_ends_at: float = float("inf")
-    next_giver_after: float = 3.0
+    offered: float
+    offered_before: float = 8.0
+    lost_fraction: float = 0.0
+    leader_ends_at: float = float("inf")
+    next_leader_after: float = 3.0
     named_at: float = 2.0
     ends_at: float = 14.0
     until: float = 16.0
@@ -72,10 +72,10 @@
         self._waiting: dict[int, deque[_Waiting]] = defaultdict(deque)
         self.sent: list[Sent] = []
         # Instances that have told the order giver all that they know.
-        self._introduced: set[int] = set()
+        self._sent_snapshot: set[int] = set()
         # Instances that an answer has told of another limit: the order giver hears at once.
-        self._learned: set[int] = set()
-        self.told_at: dict[int, float] = {}
+        self._changed: set[int] = set()
+        self.informed_at: dict[int, float] = {}
         # The step at which each comes, the instance, and when its request was sent.
         self._answers: list[tuple[int, int, float]] = []
 
@@ -83,20 +83,22 @@
         """Play it to its end."""
         for step in range(round(self.history.until / STEP_SECONDS)):
             self.now = step * STEP_SECONDS
-            self._ask(step)
-            self._pass_on()
-            if step % NEWS_STEPS == 0:
-                self._tell(range(self.history.instances), regular=True)
-            elif self._learned:
-                self._tell(self._learned, regular=False)
-            self._learned = set()
-            self._answer(step)
+            self._arrive(step)
+            self._gossip()
+            if step % UPDATE_STEPS == 0:
+                self._exchange_updates(range(self.history.instances), periodic=True)
+            elif self._changed:
+                self._exchange_updates(self._changed, periodic=False)
+            self._changed = set()
+            self._receive_answers(step)
         return self
 
-    def _ask(self, step: int) -> None:
-        calm = self.now < self.history.named_at
-        asked = (self.history.asked_before if calm else self.history.asked) * STEP_SECONDS
-        for _ in range(int(asked) + (self.random.random() < asked % 1)):
+    def _arrive(self, step: int) -> None:
+        unlimited = self.now < self.history.named_at
+        offered = (
+            self.history.offered_before if unlimited else self.history.offered
+        ) * STEP_SECONDS
+        for _ in range(int(offered) + (self.random.random() < offered % 1)):
             instance = self.random.randrange(self.history.instances)
             waiting = self.rates[instance].waiting([UPSTREAM])
             waiting.__enter__()
@@ -111,47 +113,47 @@
             self.sent.append(Sent(self.now, instance))
             self._answers.append((step + ANSWER_STEPS, instance, self.now))
             return True
-        return self.now - first.since > PATIENCE_SECONDS
+        return self.now - first.since > MAX_WAIT_SECONDS
 
-    def _answer(self, step: int) -> None:
+    def _receive_answers(self, step: int) -> None:
         due = [one for one in self._answers if one[0] == step]
         for _, instance, sent_at in due:
             before = self.rates[instance].per_second(UPSTREAM)
             if self.history.named_at <= self.now < self.history.ends_at:
-                self.told_at.setdefault(instance, self.now)
+                self.informed_at.setdefault(instance, self.now)
                 self.rates[instance].note_limit(UPSTREAM, self.history.rate, "answer")
             else:
                 self.rates[instance].note_no_limit(UPSTREAM, sent_at, "answer")
             if self.rates[instance].per_second(UPSTREAM) != before:
-                self._learned.add(instance)
+                self._changed.add(instance)
 
-    def _pass_on(self) -> None:
+    def _gossip(self) -> None:
         """Let instances tell their peers what they have learned, while nobody gives orders."""
-        ended = self.history.giver_ends_at
-        if self.now < ended + SILENT_SECONDS or self.now >= ended + self.history.next_giver_after:
+        ended = self.history.leader_ends_at
+        if self.now < ended + SILENT_SECONDS or self.now >= ended + self.history.next_leader_after:
             return
         changed = [rates.drain_changed() for rates in self.rates]
         for entries in filter(None, changed):
             for peer in self.random.sample(self.rates, min(FANOUT, len(self.rates))):
-                if self.random.random() >= self.history.lost_part:
+                if self.random.random() >= self.history.lost_fraction:
                     peer.receive_from_peer(entries)
 
-    def _tell(self, instances: Iterable[int], *, regular: bool) -> None:
+    def _exchange_updates(self, instances: Iterable[int], *, periodic: bool) -> None:
         """Let ``instances`` tell the order giver, and the order giver all."""
-        ended = self.history.giver_ends_at
-        if ended <= self.now < ended + self.history.next_giver_after:
+        ended = self.history.leader_ends_at
+        if ended <= self.now < ended + self.history.next_leader_after:
             self.issuer.begin()
-            self._introduced = set()
+            self._sent_snapshot = set()
             return
         for number in instances:
             rates = self.rates[number]
-            if self.random.random() >= self.history.lost_part:
-                introduce = number not in self._introduced
-                self.issuer.receive(f"i{number}", rates.updates(full=introduce))
-                self._introduced.add(number)
-        issued = self.issuer.issue(all_limits=regular)
+            if self.random.random() >= self.history.lost_fraction:
+                full = number not in self._sent_snapshot
+                self.issuer.receive(f"i{number}", rates.updates(full=full))
+                self._sent_snapshot.add(number)
+        issued = self.issuer.issue(all_limits=periodic)
         for rates in self.rates:
-            if self.random.random() >= self.history.lost_part:
+            if self.random.random() >= self.history.lost_fraction:
                 rates.receive(issued)
 
     def most_in_window(self) -> int:
@@ -161,12 +163,12 @@
             for one in self.sent
             if self.history.named_at + NOTICE_SECONDS <= one.at <= self.history.ends_at
         ]
-        return max(map(self._told_in_window, ends), default=0)
+        return max(map(self._informed_in_window, ends), default=0)
 
-    def _told_in_window(self, end: float) -> int:
-        told = {key for key, at in self.told_at.items() if at <= end - TOLD_SECONDS}
+    def _informed_in_window(self, end: float) -> int:
+        informed = {key for key, at in self.informed_at.items() if at <= end - INFORMED_SECONDS}
         window = [one for one in self.sent if end - WINDOW_SECONDS < one.at <= end]
-        return sum(one.instance in told for one in window)
+        return sum(one.instance in informed for one in window)
 
     def allowed(self) -> float:
         """Return how many the rule lets come in a window."""
