--- a/packages/redwingscale-daemon/tests/unit/workspaces/test_limit_histories.py
+++ b/packages/redwingscale-daemon/tests/unit/workspaces/test_limit_histories.py
@@ -48,7 +48,7 @@
     """Guards against instances that admit a flood until an update announces it."""
     shape = Shape(
         per_second=295_000.0, flood=6.0, flood_from=8.0, flood_to=18.0,
-        silent_from=7.5, silent_to=13.0, silent_part=1.0, new_giver_at=12.9,
+        silent_from=7.5, silent_to=13.0, silent_part=1.0, new_leader_at=12.9,
     )  # fmt: skip
     worst = play(shape, Granted, 1).worst_window(WINDOW_SECONDS)
     assert worst <= allowed(shape)
--- a/packages/redwingscale-standins/src/redwingscale_standins/use_limits/ways.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/use_limits/ways.py
@@ -16,13 +16,13 @@
 class Way(Protocol):
     """One instance's end."""
 
-    def lets_in(self, workspace: Workspace, tokens: int) -> bool:
+    def admits(self, workspace: Workspace, tokens: int) -> bool:
         """Return whether a request may run, and count it."""
 
-    def tell(self) -> list[DrawnEntry]:
+    def updates(self) -> list[DrawnEntry]:
         """Return what the order giver is told."""
 
-    def hear(self, grants: Iterable[GrantEntry]) -> None:
+    def receive(self, grants: Iterable[GrantEntry]) -> None:
         """Take what the order giver tells."""
 
 
@@ -31,10 +31,10 @@
 
     def __init__(self, instances: int, clock: Clock, source: random.Random) -> None:
         self._limiter = UseLimiter(lambda: instances, SLACK_TOKENS, clock, source)
-        self.tell = self._limiter.updates
-        self.hear = self._limiter.receive
+        self.updates = self._limiter.updates
+        self.receive = self._limiter.receive
 
-    def lets_in(self, workspace: Workspace, tokens: int) -> bool:
+    def admits(self, workspace: Workspace, tokens: int) -> bool:
         """Return whether a request may run, and count it."""
         return isinstance(self._limiter.draw(workspace, tokens), Drawn)
 
@@ -43,26 +43,26 @@
     """Each instance keeps the same part of limit and burst; nothing is told."""
 
     def __init__(self, instances: int, clock: Clock, source: random.Random) -> None:
-        self._part = 1.0 / instances
+        self._fraction = 1.0 / instances
         self._clock = clock
         self._levels: dict[str, tuple[float, float]] = {}
 
-    def lets_in(self, workspace: Workspace, tokens: int) -> bool:
+    def admits(self, workspace: Workspace, tokens: int) -> bool:
         """Return whether a request may run, and count it."""
         limit, now = workspace.limit, self._clock()
         assert limit is not None
-        burst = limit.burst * self._part
+        burst = limit.burst * self._fraction
         level, at = self._levels.get(workspace.name, (burst, now))
-        level = min(burst, level + limit.per_second * self._part * (now - at))
+        level = min(burst, level + limit.per_second * self._fraction * (now - at))
         let_in = level >= 0
         self._levels[workspace.name] = (level - tokens * let_in, now)
         return let_in
 
-    def tell(self) -> list[DrawnEntry]:
+    def updates(self) -> list[DrawnEntry]:
         """Tell nothing."""
         return []
 
-    def hear(self, grants: Iterable[GrantEntry]) -> None:
+    def receive(self, grants: Iterable[GrantEntry]) -> None:
         """Hear nothing."""
 
 
@@ -73,25 +73,25 @@
         self._clock = clock
         self._used: dict[str, float] = {}
         # What was left, when it was told, and the own use until then.
-        self._left: dict[str, tuple[float, float, float]] = {}
+        self._announced: dict[str, tuple[float, float, float]] = {}
 
-    def lets_in(self, workspace: Workspace, tokens: int) -> bool:
+    def admits(self, workspace: Workspace, tokens: int) -> bool:
         """Return whether a request may run, and count it."""
         limit, now = workspace.limit, self._clock()
         assert limit is not None
         used = self._used.get(workspace.name, 0.0)
-        left, at, used_then = self._left.get(workspace.name, (limit.burst, now, used))
+        left, at, used_then = self._announced.get(workspace.name, (limit.burst, now, used))
         let_in = left + limit.per_second * (now - at) - (used - used_then) >= 0
         self._used[workspace.name] = used + tokens * let_in
         return let_in
 
-    def tell(self) -> list[DrawnEntry]:
+    def updates(self) -> list[DrawnEntry]:
         """Tell all that was used."""
         return [DrawnEntry(name, 0.0, used) for name, used in self._used.items()]
 
-    def hear(self, grants: Iterable[GrantEntry]) -> None:
+    def receive(self, grants: Iterable[GrantEntry]) -> None:
         """Take the level: a grant is the limit and what is left in one second."""
         now = self._clock()
         for grant in grants:
             used = self._used.get(grant.workspace, 0.0)
-            self._left[grant.workspace] = (grant.offered, now, used)
+            self._announced[grant.workspace] = (grant.offered, now, used)
--- a/packages/redwingscale-standins/src/redwingscale_standins/use_limits/world.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/use_limits/world.py
@@ -15,7 +15,7 @@
 
 from redwingscale_standins.use_limits.ways import SLACK_TOKENS, Clock, Granted, ToldLevel, Way
 
-TELL_SECONDS = 0.25
+UPDATE_SECONDS = 0.25
 
 
 class Shape(NamedTuple):
@@ -26,7 +26,7 @@
     up to ``delay`` seconds and ``lost`` of them are lost; no news pass between
     ``silent_from`` and ``silent_to`` for a ``silent_part`` of the instances. What comes
     before ``counted_from`` is not counted. A new order giver that knows nothing begins at
-    ``new_giver_at``.
+    ``new_leader_at``.
     """
 
     per_second: float = 100_000.0
@@ -45,7 +45,7 @@
     silent_to: float = 0.0
     silent_part: float = 0.0
     counted_from: float = 0.0
-    new_giver_at: float | None = None
+    new_leader_at: float | None = None
     lowered_at: float | None = None
     lowered_to: float = 0.3
 
@@ -117,36 +117,40 @@
     def play(self) -> Counts:
         """Return what came of it."""
         for index in range(self.shape.instances):
-            self._at(self._random.random() * TELL_SECONDS, partial(self._tell, index))
-        self._at(0.1, self._grant)
-        self._at(0.0, self._arrive)
-        if self.shape.new_giver_at is not None:
-            self._at(self.shape.new_giver_at, partial(self._totals.begin, self.shape.instances))
+            self._schedule(
+                self._random.random() * UPDATE_SECONDS, partial(self._send_updates, index)
+            )
+        self._schedule(0.1, self._send_grants)
+        self._schedule(0.0, self._arrive)
+        if self.shape.new_leader_at is not None:
+            self._schedule(
+                self.shape.new_leader_at, partial(self._totals.begin, self.shape.instances)
+            )
         if self.shape.lowered_at is not None:
-            self._at(self.shape.lowered_at, self._lower)
+            self._schedule(self.shape.lowered_at, self._lower)
         while self._queue and self._queue[0][0] < self.shape.seconds:
             at, _, event = heapq.heappop(self._queue)
             self._clock.now = at
             event()
         return self.counts
 
-    def _at(self, seconds: float, event: Callable[[], None]) -> None:
+    def _schedule(self, seconds: float, event: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (seconds, next(self._order), event))
 
     def _lower(self) -> None:
-        part = self.shape.lowered_to
+        fraction = self.shape.lowered_to
         self._limit = self._limit._replace(
-            per_second=self._limit.per_second * part, burst=self._limit.burst * part
+            per_second=self._limit.per_second * fraction, burst=self._limit.burst * fraction
         )
 
     def _arrive(self) -> None:
         shape, now = self.shape, self._clock.now
         flood = shape.flood if shape.flood_from <= now < shape.flood_to else 1.0
         per_second = shape.per_second * shape.usual * flood / shape.tokens
-        self._at(now + self._random.expovariate(per_second), self._arrive)
+        self._schedule(now + self._random.expovariate(per_second), self._arrive)
         index = self._random.choices(range(shape.instances), self._weights)[0]
         tokens = max(50, int(self._random.gauss(shape.tokens, shape.tokens / 2)))
-        self._count(tokens, self._ways[index].lets_in(Workspace("w", 0, self._limit), tokens))
+        self._count(tokens, self._ways[index].admits(Workspace("w", 0, self._limit), tokens))
 
     def _count(self, tokens: int, let_in: bool) -> None:
         now, counts = self._clock.now, self.counts
@@ -164,7 +168,7 @@
             counts.exact_tokens += tokens
             self._exact -= tokens
 
-    def _silent(self, index: int) -> bool:
+    def _is_silent(self, index: int) -> bool:
         shape = self.shape
         cut = shape.silent_from <= self._clock.now < shape.silent_to
         return cut and index < shape.silent_part * shape.instances
@@ -172,27 +176,27 @@
     def _deliver(self, event: Callable[[], None]) -> None:
         self.counts.messages += 1
         if self._random.random() >= self.shape.lost:
-            self._at(self._clock.now + self._random.random() * self.shape.delay, event)
+            self._schedule(self._clock.now + self._random.random() * self.shape.delay, event)
 
-    def _tell(self, index: int) -> None:
-        self._at(self._clock.now + TELL_SECONDS, partial(self._tell, index))
-        entries = self._ways[index].tell()
+    def _send_updates(self, index: int) -> None:
+        self._schedule(self._clock.now + UPDATE_SECONDS, partial(self._send_updates, index))
+        entries = self._ways[index].updates()
         self.counts.entries += len(entries)
-        if not self._silent(index):
+        if not self._is_silent(index):
             self._deliver(partial(self._totals.receive, f"i{index}", entries))
 
-    def _grant(self) -> None:
-        self._at(self._clock.now + TELL_SECONDS, self._grant)
+    def _send_grants(self) -> None:
+        self._schedule(self._clock.now + UPDATE_SECONDS, self._send_grants)
         grants = self._totals.grants({"w": self._limit})
         if grants is None:
             return
         for index, way in enumerate(self._ways):
-            if not self._silent(index):
-                told = self._for(way, grants)
-                self.counts.entries += len(told)
-                self._deliver(partial(way.hear, told))
+            if not self._is_silent(index):
+                entries = self._entries_for(way, grants)
+                self.counts.entries += len(entries)
+                self._deliver(partial(way.receive, entries))
 
-    def _for(self, way: Way, grants: Iterable[GrantEntry]) -> list[GrantEntry]:
+    def _entries_for(self, way: Way, grants: Iterable[GrantEntry]) -> list[GrantEntry]:
         """Return what one instance is told: a level that was told is what is left."""
         match way:
             case ToldLevel():
