--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/control.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/control.py
@@ -51,7 +51,7 @@
         process = self._engine_at(engine.url)
         if process is None:
             raise UpstreamError(engine.id, "no answer", run=RunState.UNKNOWN)
-        self._refusable(engine, lambda: process.raise_fence(fence))
+        self._call_fenced(engine, lambda: process.raise_fence(fence))
 
     def order(self, engine: EngineMember, order: Order, guard: Guard) -> None:
         """Deliver ``order`` now, later, twice or not at all."""
@@ -66,7 +66,7 @@
             seconds = self._rng.uniform(0, engine.late_order_seconds)
             self._clock.call_later(seconds, lambda: self._deliver_late(engine, order))
         if fault not in (Fault.LATE, Fault.LOST):
-            self._refusable(engine, lambda: self._deliver(engine, order))
+            self._call_fenced(engine, lambda: self._deliver(engine, order))
         self._strike(fault, "after")
         if fault in (Fault.REPLY_LOST, Fault.LATE):
             raise UpstreamError(engine.id, "no reply", run=RunState.UNKNOWN)
@@ -82,7 +82,7 @@
         except StaleFence:
             return
 
-    def _refusable(self, engine: EngineMember, call: Callable[[], None]) -> None:
+    def _call_fenced(self, engine: EngineMember, call: Callable[[], None]) -> None:
         try:
             call()
         except StaleFence as error:
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/faults.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/faults.py
@@ -29,23 +29,23 @@
     KILLED_AFTER = "sender killed after"
 
 
-_SENDER = [
+_SENDER_FAULTS = [
     Fault.PAUSED_BEFORE,
     Fault.PAUSED_AFTER,
     Fault.KILLED_BEFORE,
     Fault.KILLED_AFTER,
 ]
 FAULTS_BY_POINT: dict[Point, list[Fault]] = {
-    Point.READ: [Fault.REFUSED, *_SENDER],
-    Point.COMMIT: [Fault.REFUSED, Fault.LATE, Fault.REPLY_LOST, *_SENDER],
-    Point.POLL: [Fault.REFUSED, *_SENDER],
+    Point.READ: [Fault.REFUSED, *_SENDER_FAULTS],
+    Point.COMMIT: [Fault.REFUSED, Fault.LATE, Fault.REPLY_LOST, *_SENDER_FAULTS],
+    Point.POLL: [Fault.REFUSED, *_SENDER_FAULTS],
     Point.ORDER: [
         Fault.REFUSED,
         Fault.LOST,
         Fault.LATE,
         Fault.DOUBLED,
         Fault.REPLY_LOST,
-        *_SENDER,
+        *_SENDER_FAULTS,
     ],
     Point.LOAD: [Fault.FAILED],
 }
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/history.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/history.py
@@ -7,7 +7,7 @@
 from redwingscale_standins.histories.world import SIZES_BY_UNIT, World
 
 ACTIONS = 120
-FAULT_SHARES_BY_POINT = {
+FAULT_PROBABILITY_BY_POINT = {
     Point.READ: 0.02,
     Point.COMMIT: 0.05,
     Point.POLL: 0.03,
@@ -15,7 +15,7 @@
     Point.LOAD: 0.1,
 }
 INSTANCES = 3
-QUIET_SECONDS = 60
+FAULT_FREE_SECONDS = 60
 STEP_SECONDS = 0.5
 
 
@@ -33,10 +33,10 @@
 def run_history(seed: int) -> Judgement:
     """Run a history with faults, then one minute without, and judge it."""
     rng = random.Random(seed)
-    quiet = False
+    fault_free = False
 
     def faults(point: Point) -> Fault | None:
-        if quiet or rng.random() > FAULT_SHARES_BY_POINT[point]:
+        if fault_free or rng.random() > FAULT_PROBABILITY_BY_POINT[point]:
             return None
         return rng.choice(FAULTS_BY_POINT[point])
 
@@ -44,10 +44,10 @@
     world = World(rng, faults, checks_fencing=checks_fencing, instances=INSTANCES)
     for _ in range(ACTIONS):
         _act(world, rng)
-    quiet = True
+    fault_free = True
     world.down = False
     world.cut = set()
-    for _ in range(int(QUIET_SECONDS / STEP_SECONDS)):
+    for _ in range(int(FAULT_FREE_SECONDS / STEP_SECONDS)):
         _pass_time(world, STEP_SECONDS)
     return Judgement(
         seed,
