--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/__init__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/__init__.py
@@ -1,1 +1,1 @@
-"""Engines of two vendors with dialects of their own over one model of their work."""
+"""Engine stand-in: one simulated engine behind the HTTP dialects of two vendors."""
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/__main__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/__main__.py
@@ -25,7 +25,9 @@
     report_lag_seconds: float = 0.5,
     weights_url: str = "",
     checks_fencing: bool = True,
-    resident: Annotated[list[str] | None, typer.Option(help="UNIT=BYTES, there already.")] = None,
+    resident: Annotated[
+        list[str] | None, typer.Option(help="UNIT=BYTES, resident at the start.")
+    ] = None,
 ) -> None:
     """Serve one engine on loopback until SIGTERM."""
     profile = Profile(
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/alder.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/alder.py
@@ -1,4 +1,4 @@
-"""Vendor alder: nested state in bytes, orders with fencing numbers."""
+"""HTTP dialect of vendor alder: nested state, sizes in bytes, orders with fencing numbers."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -21,14 +21,14 @@
 
 
 class AlderApi:
-    """``/v1/generate``, ``/v1/state``, ``/v1/orders``, ``/v1/fence``, ``/v1/cache-events``."""
+    """Serves ``/v1/generate``, ``state``, ``orders``, ``fence`` and ``cache-events``."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
     @cherrypy.expose
     def default(self, *segments: str, **query: Any) -> bytes | Iterator[bytes]:
-        """Dispatch one call of the dialect or of the admin address."""
+        """Dispatch a request of the dialect or of the admin interface."""
         match cherrypy.request.method, segments:
             case _, ("admin", *rest):
                 return admin(self._engine, rest)
@@ -79,7 +79,7 @@
             return engine.faults.nonsense_report.encode()
         load = engine.load()
         memory = engine.memory
-        # Read before the memory: an order shown as done has its memory shown too.
+        # Read before the memory, so that the memory reflects every order reported as done.
         orders = {"fence": engine.orders.fence, "orders": engine.orders.statuses()}
         return json_response(
             orders
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/batch.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/batch.py
@@ -1,4 +1,4 @@
-"""The running batch of one engine: bounded slots, waiting by priority."""
+"""Batch of one engine: a bounded number of slots and a priority queue for them."""
 
 import heapq
 import itertools
@@ -8,7 +8,7 @@
 
 
 class Batch:
-    """Admits up to ``slots`` streams; the lowest priority number goes first."""
+    """Runs up to ``slots`` streams at a time; the lowest priority number is admitted first."""
 
     def __init__(self, slots: int) -> None:
         self._condition = threading.Condition()
@@ -19,12 +19,12 @@
 
     @property
     def waiting(self) -> int:
-        """How many streams wait for a slot."""
+        """The number of streams that wait for a slot."""
         return len(self._waiting)
 
     @contextmanager
     def slot(self, priority: int) -> Iterator[None]:
-        """Hold one slot of the batch, waiting for it as long as needed."""
+        """Occupy one slot of the batch; wait for it without a timeout."""
         ticket = (priority, next(self._order))
         with self._condition:
             heapq.heappush(self._waiting, ticket)
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/birch.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/birch.py
@@ -1,4 +1,4 @@
-"""Vendor birch: flat state in megabytes, tickets without fencing."""
+"""HTTP dialect of vendor birch: flat state, sizes in megabytes, tickets without fencing."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -23,14 +23,14 @@
 
 
 class BirchApi:
-    """``/generate``, ``/generate/resume``, ``/generate/cancel``, ``/info``, ``/slots``."""
+    """Serves ``/generate``, its ``resume`` and ``cancel``, ``/info``, ``/slots`` and ``/cache``."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
 
     @cherrypy.expose
     def default(self, *segments: str, **query: Any) -> bytes | Iterator[bytes]:
-        """Dispatch one call of the dialect or of the admin address."""
+        """Dispatch a request of the dialect or of the admin interface."""
         match cherrypy.request.method, segments:
             case _, ("admin", *rest):
                 return admin(self._engine, rest)
@@ -76,7 +76,7 @@
         if engine.faults.nonsense_report:
             return engine.faults.nonsense_report.encode()
         load = engine.load()
-        # Read before the memory: an order shown as done has its memory shown too.
+        # Read before the memory, so that the memory reflects every order reported as done.
         tickets = engine.orders.statuses()
         slots = [
             {"slot": r.unit, "mb": r.size_bytes / MEGABYTE, "phase": r.phase}
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/cache.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of one engine: least recently used blocks, with cache events."""
+"""Prefix cache of one engine, with LRU eviction and cache events."""
 
 import hashlib
 import threading
@@ -9,7 +9,7 @@
 
 
 class CacheEvent(NamedTuple):
-    """Block ``prefix`` of ``unit`` was stored or evicted; ``sequence`` has no gaps here."""
+    """Block ``prefix`` of ``unit`` was stored or evicted; ``sequence`` is assigned without gaps."""
 
     sequence: int
     stored: bool
@@ -18,7 +18,7 @@
 
 
 class PrefixCache:
-    """Blocks by chained digest; tells how many of a prompt's blocks were there."""
+    """Cached prompt blocks by chained digest; counts hits and misses."""
 
     def __init__(self, capacity_blocks: int) -> None:
         self._lock = threading.Lock()
@@ -30,7 +30,7 @@
         self.misses = 0
 
     def admit(self, unit: str, prompt: str) -> int:
-        """Store the prompt's blocks; return how many were not yet cached."""
+        """Store the blocks of ``prompt``; return how many were not cached before."""
         with self._lock:
             missing = 0
             for digest in prefix_digests(unit, prompt):
@@ -56,7 +56,7 @@
 
 
 def prefix_digests(unit: str, prompt: str) -> list[str]:
-    """Return the chained digest of each whole block of ``prompt``."""
+    """Return the digest of each whole block of ``prompt``, chained with those before it."""
     digests = []
     chain = unit.encode()
     for start in range(0, len(prompt) - BLOCK_CHARACTERS + 1, BLOCK_CHARACTERS):
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/engine.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/engine.py
@@ -1,4 +1,4 @@
-"""One engine stand-in, whatever dialect speaks for it."""
+"""One simulated engine, independent of its HTTP dialect."""
 
 import time
 from typing import Any, NamedTuple
@@ -12,14 +12,14 @@
 
 
 class Load(NamedTuple):
-    """Load as reported: it lags behind the truth."""
+    """Reported load, which lags behind the actual load."""
 
     running: int
     waiting: int
 
 
 class Engine:
-    """Memory, orders and streams of one stand-in, and its lagged load report."""
+    """Memory, orders and streams of one stand-in, and its delayed load report."""
 
     def __init__(self, profile: Profile, weights_url: str, *, checks_fencing: bool) -> None:
         self._pool = urllib3.PoolManager(retries=False)
@@ -35,7 +35,7 @@
         )
 
     def load(self) -> Load:
-        """Return the load as it was up to ``report_lag_seconds`` ago."""
+        """Return the load, sampled at most once per ``report_lag_seconds``."""
         now = time.monotonic()
         if now - self._report_at >= self.profile.report_lag_seconds:
             self._report_at = now
@@ -43,7 +43,7 @@
         return self._report
 
     def record(self) -> dict[str, Any]:
-        """Return what a test judges: peak memory, overcommits, orders, streams."""
+        """Return what tests check: peak memory, overcommits, orders, streams and cache use."""
         return {
             "capacity_bytes": self.memory.capacity_bytes,
             "peak_bytes": self.memory.peak_bytes,
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/generation.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/generation.py
@@ -1,4 +1,4 @@
-"""Deterministic text: the same model and prompt always give the same answer."""
+"""Deterministic text generation: a unit and prompt always give the same answer."""
 
 import hashlib
 
@@ -29,5 +29,5 @@
 
 
 def answer_text(unit: str, prompt: str, count: int) -> str:
-    """Return the whole undisturbed answer of ``count`` tokens."""
+    """Return the whole answer of ``count`` tokens, as streamed without faults."""
     return "".join(token_text(unit, prompt, index) for index in range(count))
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/handler.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/handler.py
@@ -1,4 +1,4 @@
-"""What both dialects' HTTP handlers share: admin address and stream bodies."""
+"""Parts of the HTTP handlers that both dialects share: admin interface and stream bodies."""
 
 from collections.abc import Callable, Iterator
 from typing import Any
@@ -30,7 +30,7 @@
     render: Callable[[Token], bytes],
     end: Callable[[int], bytes],
 ) -> Iterator[bytes]:
-    """Return the body of a stream from token ``start``: each rendered, then its end."""
+    """Return the body of a stream from token ``start``: rendered tokens, then the end event."""
     cherrypy.response.headers["Content-Type"] = "text/event-stream"
     cherrypy.response.stream = True
 
@@ -45,18 +45,18 @@
 
 
 def refuse_if_set(engine: Engine) -> None:
-    """Answer 503 while the switch ``refuse`` is on: nothing was run."""
+    """Raise 503 while the switch ``refuse`` is on; the request is not run."""
     if engine.faults.refuse:
         raise cherrypy.HTTPError(503, "refused, not run")
 
 
 def lose_order_reply(engine: Engine) -> None:
-    """Drop the connection in place of an order's reply, if one is due."""
+    """Drop the connection instead of replying to an order, if the fault is due."""
     if engine.faults.take("lose_order_replies"):
         drop_connection()
 
 
 def require(condition: Any, status: int, message: str) -> None:
-    """Raise ``status`` unless ``condition`` holds."""
+    """Raise an HTTP error ``status`` unless ``condition`` is true."""
     if not condition:
         raise cherrypy.HTTPError(status, message)
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/memory.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/memory.py
@@ -1,4 +1,4 @@
-"""Accelerator memory of one engine: what is resident, and the peak it reached."""
+"""Accelerator memory of one engine: resident units and peak use."""
 
 import threading
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Resident(NamedTuple):
-    """A unit in memory; it takes its whole size while loading and unloading."""
+    """A unit in memory; it occupies its whole size also while loading and unloading."""
 
     unit: str
     size_bytes: int
@@ -17,7 +17,7 @@
 
 
 class Memory:
-    """Records its own peak, so that a test can judge the orders it was given."""
+    """Resident units; records peak use and overcommits, so that tests can check the orders."""
 
     def __init__(self, capacity_bytes: int) -> None:
         self._lock = threading.Lock()
@@ -27,7 +27,7 @@
         self.overcommits = 0
 
     def add(self, unit: str, size_bytes: int) -> bool:
-        """Take memory for ``unit``; return False when it is already there."""
+        """Allocate memory for ``unit``; return False if it is already resident."""
         with self._lock:
             if unit in self._residents:
                 return False
@@ -38,23 +38,23 @@
             return True
 
     def set_phase(self, unit: str, phase: str) -> None:
-        """Set the phase of ``unit`` if it is there."""
+        """Set the phase of ``unit``, if it is resident."""
         with self._lock:
             if unit in self._residents:
                 self._residents[unit] = self._residents[unit]._replace(phase=phase)
 
     def remove(self, unit: str) -> None:
-        """Free the memory of ``unit``, if it is there."""
+        """Free the memory of ``unit``, if it is resident."""
         with self._lock:
             self._residents.pop(unit, None)
 
     def residents(self) -> list[Resident]:
-        """Return everything that takes memory now."""
+        """Return all units that occupy memory, whatever their phase."""
         with self._lock:
             return list(self._residents.values())
 
     def is_ready(self, unit: str) -> bool:
-        """Return whether ``unit`` can answer requests."""
+        """Return whether ``unit`` can serve requests."""
         with self._lock:
             resident = self._residents.get(unit)
             return resident is not None and resident.phase == READY
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/orders.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/orders.py
@@ -1,4 +1,4 @@
-"""Orders of one engine: load and unload, with fencing where the vendor has it."""
+"""Load and unload orders of one engine, with fencing if the vendor supports it."""
 
 import threading
 import time
@@ -12,7 +12,7 @@
 
 
 class Order(NamedTuple):
-    """A load or an unload; ``fence`` is 0 where the vendor has no fencing."""
+    """A load or an unload; ``fence`` is 0 if the vendor has no fencing."""
 
     order_id: str
     load: bool
@@ -22,11 +22,11 @@
 
 
 class StaleFence(Exception):
-    """The order's fencing number is older than one already seen."""
+    """The fencing number is lower than one already seen."""
 
 
 class Orders:
-    """Carries orders out, one thread each, and keeps their outcome by id."""
+    """Executes each order in a thread of its own and keeps its status by order id."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.unloads = 0
 
     def raise_fence(self, fence: int) -> None:
-        """Refuse every order below ``fence`` from now on."""
+        """Refuse orders below ``fence`` from now on; raises `StaleFence` if it is itself too low."""
         with self._lock:
             self._check_fence(fence)
 
@@ -58,7 +58,7 @@
             return dict(self._status_by_id)
 
     def submit(self, order: Order) -> None:
-        """Take an order, lose it, or take it late, as the switches say."""
+        """Accept an order now, accept it late or lose it, according to the fault switches."""
         if self._faults.take("lose_orders"):
             return
         if self._faults.take("late_orders"):
@@ -74,8 +74,8 @@
             return
 
     def _accept(self, order: Order) -> None:
-        # One step for all readers: a fence that is raised after the check and seen in
-        # a report before the order is would hide the order from a successor.
+        # Check and record under one lock: otherwise a successor could raise the fence in
+        # between, read a report without the order and miss it.
         with self._lock:
             self._check_fence(order.fence)
             if order.order_id in self._status_by_id:
@@ -104,7 +104,7 @@
         self._finish(order, "done")
 
     def _unload(self, order: Order) -> None:
-        # An unload that meets its own load still running waits for it, as engines do.
+        # Like real engines, wait for a load of the same unit that is still running.
         while any(r.unit == order.unit and r.phase == LOADING for r in self._memory.residents()):
             time.sleep(UNLOAD_SECONDS)
         self._memory.set_phase(order.unit, UNLOADING)
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/profile.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/profile.py
@@ -1,4 +1,4 @@
-"""How fast one engine stand-in works and how it errs."""
+"""Performance profile and fault switches of one engine stand-in."""
 
 from typing import Any, NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Profile(NamedTuple):
-    """Memory in bytes, times in seconds; ``slots`` bounds what runs in one batch."""
+    """Capacity and speed of an engine; ``slots`` is the maximum number of streams in a batch."""
 
     memory_bytes: int
     slots: int
@@ -18,9 +18,9 @@
 
 
 class EngineFaults:
-    """Switches set over the admin address while the engine runs.
+    """Fault switches, set through the admin interface while the engine runs.
 
-    ``disturbances`` is how many runs the switches for streams still disturb, -1 for all.
+    ``disturbances`` is the number of runs that stream faults still apply to, -1 for all.
     """
 
     def __init__(self) -> None:
@@ -50,12 +50,12 @@
             setattr(self, name, value)
 
     def take(self, name: str) -> bool:
-        """Count the switch ``name`` down; return whether it was due."""
+        """Decrement the switch ``name`` if it is positive; return whether it was."""
         due = getattr(self, name) > 0
         if due:
             setattr(self, name, getattr(self, name) - 1)
         return bool(due)
 
     def take_disturbance(self) -> bool:
-        """Return whether one more run is to be disturbed, and count it."""
+        """Return whether stream faults apply to the next run, and count it."""
         return self.disturbances < 0 or self.take("disturbances")
--- a/packages/redwingscale-standins/src/redwingscale_standins/engine/streams.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/engine/streams.py
@@ -1,4 +1,4 @@
-"""Streams of one engine: tokens at the batch's pace, resumable by index."""
+"""Token streams of one engine: slowed down by the batch's load, resumable by index."""
 
 import os
 import threading
@@ -17,7 +17,7 @@
 
 
 class Work(NamedTuple):
-    """What one attempt asked for; ``skip`` tokens are already with the caller."""
+    """The request of one attempt; the caller already has the first ``skip`` tokens."""
 
     attempt: str
     unit: str
@@ -36,11 +36,11 @@
 
 
 class Truncated(Exception):
-    """The switches cut this stream here."""
+    """The stream ends early: by a fault, a cancellation or a newer run."""
 
 
 class Streams:
-    """Runs attempts and keeps them by id, so that a broken one can be resumed."""
+    """Runs attempts and keeps them by id, so that a broken stream can be resumed."""
 
     def __init__(self, profile: Profile, faults: EngineFaults) -> None:
         self._lock = threading.Lock()
@@ -66,7 +66,7 @@
         return self._run(work)
 
     def resume(self, attempt: str, start: int) -> Iterator[Token] | None:
-        """Yield the rest of ``attempt`` from index ``start``; None when unknown."""
+        """Yield the tokens of ``attempt`` from ``start``; None if it is unknown or cancelled."""
         with self._lock:
             work = self._work_by_attempt.get(attempt)
         if work is None or attempt in self._cancelled:
@@ -109,7 +109,7 @@
                 yield token
 
     def _new_run(self, attempt: str) -> int:
-        """Number the runs of ``attempt``: a resume takes over from the run before it."""
+        """Return a new run number for ``attempt``, which ends its previous run."""
         with self._lock:
             self._run_by_attempt[attempt] = self._run_by_attempt.get(attempt, 0) + 1
             return self._run_by_attempt[attempt]
--- a/packages/redwingscale-standins/src/redwingscale_standins/plain/__init__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/plain/__init__.py
@@ -1,1 +1,1 @@
-"""A plain service that records every call it runs."""
+"""Stand-in for a plain HTTP service, which records every call that it runs."""
--- a/packages/redwingscale-standins/src/redwingscale_standins/plain/__main__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/plain/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m redwingscale_standins.plain``: a plain service that records its calls."""
+"""``python -m redwingscale_standins.plain``: the plain service stand-in."""
 
 import typer
 
--- a/packages/redwingscale-standins/src/redwingscale_standins/plain/api.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/plain/api.py
@@ -1,4 +1,4 @@
-"""A plain service: echoes what it ran and keeps a record of it."""
+"""HTTP interface of the plain service: echoes and records each call."""
 
 import os
 import threading
@@ -14,11 +14,12 @@
 
 
 class PlainApi:
-    """Runs any path; ``/admin/record`` lists runs, ``/admin/faults`` sets switches.
+    """Runs calls to any path; ``/admin/record`` lists them, ``/admin/faults`` sets switches.
 
-    ``refuse`` runs nothing, ``slow_seconds`` passes between the run and its answer,
-    ``lose_reply`` and ``crash_after_run`` take the answer away, ``padding_bytes``
-    makes it large, ``phase`` is what ``/state`` reports.
+    ``refuse`` answers 503 without running the call, ``slow_seconds`` delays the answer
+    after the run, ``lose_reply`` drops the connection and ``crash_after_run`` ends the
+    process instead of answering, ``padding_bytes`` enlarges the answer, and ``phase`` is
+    the phase that ``/state`` reports.
     """
 
     def __init__(self, name: str) -> None:
@@ -29,7 +30,7 @@
 
     @cherrypy.expose
     def default(self, *segments: str, **query: Any) -> bytes:
-        """Run a call, or serve the admin address."""
+        """Run a call, or serve ``/admin`` and ``/state``."""
         match segments:
             case ("admin", "record"):
                 return json_response(self._runs)
@@ -42,7 +43,7 @@
 
     def _run(self, path: str, body: bytes) -> bytes:
         if self._faults.get("refuse"):
-            # Asking for the call again is how this service says that it ran nothing.
+            # By Retry-After this service states that it did not run the call.
             cherrypy.response.headers["Retry-After"] = "1"
             return json_response({"refused": True}, 503)
         headers = cherrypy.request.headers
--- a/packages/redwingscale-standins/src/redwingscale_standins/platform/__init__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform: transactional table, object store, instance list, weight store."""
+"""Platform stand-in: transactional table, object store, member list and weight store."""
--- a/packages/redwingscale-standins/src/redwingscale_standins/platform/api.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/platform/api.py
@@ -27,7 +27,7 @@
 
     @cherrypy.expose
     def default(self, *segments: str, **query: Any) -> bytes:
-        """Dispatch one call of the platform's services or of the admin address."""
+        """Dispatch a request to one of the platform's services or to the admin interface."""
         match segments:
             case ("admin", *rest):
                 return self._admin(rest)
--- a/packages/redwingscale-standins/src/redwingscale_standins/platform/faults.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/platform/faults.py
@@ -1,4 +1,4 @@
-"""Switches of the platform stand-in, set over its admin address while it runs."""
+"""Fault switches of the platform stand-in, set through its admin interface."""
 
 import threading
 import time
@@ -9,7 +9,12 @@
 
 
 class PlatformFaults:
-    """``down`` refuses, ``slow_seconds`` delays, ``lose_replies`` drops after the write."""
+    """Fault switches.
+
+    ``down`` answers 503, ``slow_seconds`` delays each call, ``lose_replies`` is the number
+    of writes whose reply is dropped, ``list_lag_seconds`` is the age of the member list, and
+    calls from ``cut_instances`` are dropped.
+    """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -28,7 +33,7 @@
             setattr(self, name, set(value) if isinstance(value, list) else value)
 
     def before(self, sender: str) -> None:
-        """Apply outage, cut and slowness at the start of a call by ``sender``."""
+        """Apply delay, cut and outage at the start of a call by ``sender``."""
         if self.slow_seconds:
             time.sleep(self.slow_seconds)
         if sender in self.cut_instances:
@@ -37,7 +42,7 @@
             raise cherrypy.HTTPError(503, "the store is down")
 
     def after_write(self) -> None:
-        """Lose the reply of a write that has taken effect, if so many are due."""
+        """Drop the reply of a committed write, if ``lose_replies`` is positive."""
         with self._lock:
             lost = self.lose_replies > 0
             self.lose_replies -= int(lost)
--- a/packages/redwingscale-standins/src/redwingscale_standins/platform/listing.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/platform/listing.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances and upstreams, which lags."""
+"""The platform's list of instances and upstreams, read with a lag."""
 
 import threading
 import time
@@ -12,14 +12,14 @@
 
 
 class Listing:
-    """Members by id; a reader sees the list as it was some seconds ago."""
+    """Members by id, with past snapshots, so that reads can lag behind writes."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._snapshots: deque[_Snapshot] = deque([_Snapshot(0.0, {})], maxlen=4096)
 
     def put(self, member: dict[str, Any]) -> None:
-        """Add a member or replace the one of the same ``id``."""
+        """Add a member, or replace the one with the same ``id``."""
         with self._lock:
             members = dict(self._snapshots[-1].members_by_id)
             members[member["id"]] = member
--- a/packages/redwingscale-standins/src/redwingscale_standins/platform/table.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/platform/table.py
@@ -1,4 +1,4 @@
-"""The transactional table: versioned rows, multi-row compare-and-set."""
+"""Transactional table with versioned rows and multi-row compare-and-set."""
 
 import threading
 from typing import Any, NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Row(NamedTuple):
-    """A row: ``version`` rises by one with each write; ``write_id`` names the last."""
+    """A row; ``version`` rises by one with each write, ``write_id`` identifies the last one."""
 
     version: int
     value: Any
@@ -15,7 +15,7 @@
 
 
 class Check(msgspec.Struct):
-    """A condition: row ``key`` has ``version``; 0 means that there is none."""
+    """The condition that row ``key`` has ``version``; 0 means that the row is absent."""
 
     key: str
     version: int
@@ -29,7 +29,7 @@
 
 
 class Transaction(msgspec.Struct):
-    """Writes that take effect together, if every check holds."""
+    """Writes that are applied together, if every check passes."""
 
     write_id: str
     checks: list[Check] = []
@@ -38,7 +38,7 @@
 
 
 class Table:
-    """Rows in memory; counts what it served, for the capacity figures."""
+    """Rows in memory; counts reads and writes for the capacity figures."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -48,7 +48,7 @@
         self.writes = 0
 
     def read(self, keys: list[str]) -> dict[str, Row | None]:
-        """Return the rows of ``keys``, None for those that are absent."""
+        """Return the rows of ``keys``, None for absent rows."""
         with self._lock:
             self.reads += len(keys)
             return {key: self._rows.get(key) for key in keys}
@@ -61,7 +61,7 @@
             return found
 
     def commit(self, transaction: Transaction) -> tuple[bool, dict[str, Row | None]]:
-        """Return whether it took effect, and the rows it touched as they are now."""
+        """Return whether it committed, with the rows put, or else those whose check failed."""
         with self._lock:
             failed = [c.key for c in transaction.checks if self._version(c.key) != c.version]
             if failed:
--- a/packages/redwingscale-standins/src/redwingscale_standins/platform/weights.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/platform/weights.py
@@ -1,11 +1,11 @@
-"""The weight store: reads slow down when too many run at once."""
+"""Weight store whose reads slow down when too many run concurrently."""
 
 import threading
 import time
 
 
 class WeightStore:
-    """Sleeps for the time of a read and records the most that ran together."""
+    """Sleeps for the duration of each read and records the peak number of concurrent reads."""
 
     def __init__(self, bytes_per_second: float, full_speed_loads: int) -> None:
         self._lock = threading.Lock()
@@ -16,7 +16,7 @@
         self.most_active = 0
 
     def read(self, size_bytes: int) -> None:
-        """Block for as long as reading ``size_bytes`` takes."""
+        """Block for the time that reading ``size_bytes`` takes."""
         with self._lock:
             self._active += 1
             self.loads += 1
