--- a/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/__init__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/__init__.py
@@ -1,1 +1,1 @@
-"""An upstream with a rate limit, and instances in simulated time."""
+"""Simulation of instances that keep the rate limit of one upstream."""
--- a/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
@@ -1,4 +1,4 @@
-"""Instances in simulated time in front of one upstream that has a rate limit for a while."""
+"""Simulates instances that send to one upstream with a temporary rate limit."""
 
 import random
 from collections import defaultdict, deque
@@ -14,19 +14,22 @@
 
 STEP_SECONDS = 0.05
 UPDATE_STEPS = 5
-# After which instances take an order giver for lost.
+# Silence of the leader after which instances consider it lost.
 SILENT_SECONDS = 0.5
 ANSWER_STEPS = 2
 UPSTREAM = "u"
 MAX_WAIT_SECONDS = 2.0
-# An instance is told by an answer that it has passed on this long ago.
+# An instance counts as informed this long after an answer announced the limit to it.
 INFORMED_SECONDS = 0.5
 
 
 class History(NamedTuple):
-    """What happens: ``asked`` requests a second in all, news that are lost, givers that end.
+    """Course of one simulation: load, rate limit, lost messages and loss of the leader.
 
-    Before the upstream names its rate ``asked_before`` come.
+    All instances together receive ``offered`` requests a second, and ``offered_before``
+    until the upstream announces its limit at ``named_at``. The limit ends at ``ends_at``,
+    the simulation at ``until``. The leader is lost at ``leader_ends_at``; its successor
+    begins ``next_leader_after`` seconds later.
     """
 
     instances: int
@@ -43,26 +46,26 @@
 
 
 class Sent(NamedTuple):
-    """One request that has come to the upstream."""
+    """One request that reached the upstream."""
 
     at: float
     instance: int
 
 
 class _Waiting(NamedTuple):
-    """A request that waits, and what counts it meanwhile."""
+    """A waiting request, and the context that counts it as waiting."""
 
     since: float
     counted: AbstractContextManager[None]
 
 
 class RateModel:
-    """Plays one history; what was sent is in ``sent``."""
+    """Simulates one history; ``sent`` lists the requests that reached the upstream."""
 
     def __init__(self, history: History) -> None:
         self.history = history
         self.now = 0.0
-        # Not for secrets.
+        # Not used for cryptography.
         self.random = random.Random(history.seed)
         self.rates = [
             RateLimits(f"i{n}", lambda: history.instances, clock=lambda: self.now)
@@ -71,16 +74,16 @@
         self.issuer = PermitIssuer(clock=lambda: self.now)
         self._waiting: dict[int, deque[_Waiting]] = defaultdict(deque)
         self.sent: list[Sent] = []
-        # Instances that have told the order giver all that they know.
+        # Instances that have sent a full snapshot to the current leader.
         self._sent_snapshot: set[int] = set()
-        # Instances that an answer has told of another limit: the order giver hears at once.
+        # Instances where an answer changed the limit: they update the leader at once.
         self._changed: set[int] = set()
         self.informed_at: dict[int, float] = {}
-        # The step at which each comes, the instance, and when its request was sent.
+        # Answers in flight: the step of arrival, the instance and the send time of the request.
         self._answers: list[tuple[int, int, float]] = []
 
     def run(self) -> "RateModel":
-        """Play it to its end."""
+        """Run the simulation to its end."""
         for step in range(round(self.history.until / STEP_SECONDS)):
             self.now = step * STEP_SECONDS
             self._arrive(step)
@@ -128,7 +131,7 @@
                 self._changed.add(instance)
 
     def _gossip(self) -> None:
-        """Let instances tell their peers what they have learned, while nobody gives orders."""
+        """Send changed limits to random peers, while no instance leads."""
         ended = self.history.leader_ends_at
         if self.now < ended + SILENT_SECONDS or self.now >= ended + self.history.next_leader_after:
             return
@@ -139,7 +142,7 @@
                     peer.receive_from_peer(entries)
 
     def _exchange_updates(self, instances: Iterable[int], *, periodic: bool) -> None:
-        """Let ``instances`` tell the order giver, and the order giver all."""
+        """Send updates from ``instances`` to the leader, and from the leader to all instances."""
         ended = self.history.leader_ends_at
         if ended <= self.now < ended + self.history.next_leader_after:
             self.issuer.begin()
@@ -157,7 +160,7 @@
                 rates.receive(issued)
 
     def most_in_window(self) -> int:
-        """Return the most that came in one window from instances that had been told by its end."""
+        """Return the most requests in one window from instances informed by its end."""
         ends = [
             one.at
             for one in self.sent
@@ -171,9 +174,9 @@
         return sum(one.instance in informed for one in window)
 
     def allowed(self) -> float:
-        """Return how many the rule lets come in a window."""
+        """Return how many requests the rule allows in one window."""
         return most_allowed(self.history.rate)
 
     def sent_between(self, begin: float, end: float) -> int:
-        """Return how many came in a span."""
+        """Return how many requests reached the upstream from ``begin`` until before ``end``."""
         return sum(begin <= one.at < end for one in self.sent)
--- a/packages/redwingscale-standins/src/redwingscale_standins/use_limits/__init__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/use_limits/__init__.py
@@ -1,1 +1,1 @@
-"""Instances that keep a workspace's limit together, in simulated time."""
+"""Simulation of instances that share the use limit of one workspace."""
--- a/packages/redwingscale-standins/src/redwingscale_standins/use_limits/ways.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/use_limits/ways.py
@@ -1,4 +1,4 @@
-"""Ways in which instances may share a limit; the standing one is the daemon's own."""
+"""Ways for instances to share a limit: the daemon's own, and two to compare it with."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -8,26 +8,26 @@
 from redwingscale_daemon._internal.workspaces.use_messages import DrawnEntry, GrantEntry
 from redwingscale_daemon._internal.workspaces.workspace import Workspace
 
-# What all instances may let in beyond a limit.
+# Tokens that all instances together may admit beyond a limit.
 SLACK_TOKENS = 17_000
 Clock = Callable[[], float]
 
 
 class Way(Protocol):
-    """One instance's end."""
+    """One instance's end of a shared limit."""
 
     def admits(self, workspace: Workspace, tokens: int) -> bool:
-        """Return whether a request may run, and count it."""
+        """Return whether a request is admitted, and count it if so."""
 
     def updates(self) -> list[DrawnEntry]:
-        """Return what the order giver is told."""
+        """Return the entries to send to the leader."""
 
     def receive(self, grants: Iterable[GrantEntry]) -> None:
-        """Take what the order giver tells."""
+        """Apply the grants of the leader."""
 
 
 class Granted:
-    """Parts by what each instance is asked for, as the daemon does it."""
+    """The daemon's way: each instance's share follows the demand on it."""
 
     def __init__(self, instances: int, clock: Clock, source: random.Random) -> None:
         self._limiter = UseLimiter(lambda: instances, SLACK_TOKENS, clock, source)
@@ -35,12 +35,12 @@
         self.receive = self._limiter.receive
 
     def admits(self, workspace: Workspace, tokens: int) -> bool:
-        """Return whether a request may run, and count it."""
+        """Return whether a request is admitted, and count it if so."""
         return isinstance(self._limiter.draw(workspace, tokens), Drawn)
 
 
 class FixedPart:
-    """Each instance keeps the same part of limit and burst; nothing is told."""
+    """Each instance keeps an equal share of limit and burst; no messages are sent."""
 
     def __init__(self, instances: int, clock: Clock, source: random.Random) -> None:
         self._fraction = 1.0 / instances
@@ -48,7 +48,7 @@
         self._levels: dict[str, tuple[float, float]] = {}
 
     def admits(self, workspace: Workspace, tokens: int) -> bool:
-        """Return whether a request may run, and count it."""
+        """Return whether a request is admitted, and count it if so."""
         limit, now = workspace.limit, self._clock()
         assert limit is not None
         burst = limit.burst * self._fraction
@@ -59,24 +59,24 @@
         return let_in
 
     def updates(self) -> list[DrawnEntry]:
-        """Tell nothing."""
+        """Return no entries."""
         return []
 
     def receive(self, grants: Iterable[GrantEntry]) -> None:
-        """Hear nothing."""
+        """Ignore the grants."""
 
 
 class ToldLevel:
-    """Each instance lets in while the level that was told, less its own use since, is there."""
+    """Each instance admits while the announced level, less its own use since, is not negative."""
 
     def __init__(self, instances: int, clock: Clock, source: random.Random) -> None:
         self._clock = clock
         self._used: dict[str, float] = {}
-        # What was left, when it was told, and the own use until then.
+        # The announced level, when it was received, and the own use until then.
         self._announced: dict[str, tuple[float, float, float]] = {}
 
     def admits(self, workspace: Workspace, tokens: int) -> bool:
-        """Return whether a request may run, and count it."""
+        """Return whether a request is admitted, and count it if so."""
         limit, now = workspace.limit, self._clock()
         assert limit is not None
         used = self._used.get(workspace.name, 0.0)
@@ -86,11 +86,11 @@
         return let_in
 
     def updates(self) -> list[DrawnEntry]:
-        """Tell all that was used."""
+        """Return the total use by workspace."""
         return [DrawnEntry(name, 0.0, used) for name, used in self._used.items()]
 
     def receive(self, grants: Iterable[GrantEntry]) -> None:
-        """Take the level: a grant is the limit and what is left in one second."""
+        """Store the levels: ``offered`` of a grant is the tokens left of the limit."""
         now = self._clock()
         for grant in grants:
             used = self._used.get(grant.workspace, 0.0)
--- a/packages/redwingscale-standins/src/redwingscale_standins/use_limits/world.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/use_limits/world.py
@@ -1,4 +1,4 @@
-"""Plays callers, instances and an order giver, and counts what is let in."""
+"""Simulates callers, instances and a leader, and counts the admitted tokens."""
 
 import heapq
 import random
@@ -19,14 +19,14 @@
 
 
 class Shape(NamedTuple):
-    """A load: requests of ``tokens`` at a rate of ``usual`` of the limit.
-
-    Between ``flood_from`` and ``flood_to`` seconds it is ``flood`` times as much. It
-    comes through ``through`` of the ``instances``, each with a drawn part. Messages take
-    up to ``delay`` seconds and ``lost`` of them are lost; no news pass between
-    ``silent_from`` and ``silent_to`` for a ``silent_part`` of the instances. What comes
-    before ``counted_from`` is not counted. A new order giver that knows nothing begins at
-    ``new_leader_at``.
+    """Load and faults: requests of about ``tokens`` at the fraction ``usual`` of the limit.
+
+    Between ``flood_from`` and ``flood_to`` seconds the load is ``flood`` times as high. It
+    arrives at ``through`` of the ``instances``, each with a random share. Messages take up
+    to ``delay`` seconds and the fraction ``lost`` of them is lost; between ``silent_from``
+    and ``silent_to`` the fraction ``silent_part`` of the instances exchanges no messages.
+    Requests before ``counted_from`` are not counted. A new leader without any state begins
+    at ``new_leader_at``. At ``lowered_at`` the limit falls to the fraction ``lowered_to``.
     """
 
     per_second: float = 100_000.0
@@ -52,7 +52,7 @@
 
 @dataclass
 class Counts:
-    """What was let in and refused, and the tokens that an exact limit would have let in."""
+    """Admitted and refused requests, and the tokens that an exact limit would have admitted."""
 
     let_in: deque[tuple[float, int]] = field(default_factory=deque)
     offered: int = 0
@@ -63,12 +63,12 @@
 
     @property
     def shortfall(self) -> float:
-        """The part of what an exact limit would have let in that was not."""
+        """The fraction by which fewer tokens were admitted than by an exact limit."""
         let_in = sum(tokens for _, tokens in self.let_in)
         return max(0.0, 1.0 - let_in / self.exact_tokens)
 
     def worst_window(self, seconds: float) -> float:
-        """Return the most tokens that were let in within ``seconds``."""
+        """Return the most tokens that were admitted within ``seconds``."""
         worst = total = 0.0
         window: deque[tuple[float, int]] = deque()
         for at, tokens in self.let_in:
@@ -92,7 +92,7 @@
 
 
 class World:
-    """One play; events are taken in the order of their times."""
+    """One simulation; events run in the order of their times."""
 
     def __init__(self, shape: Shape, make: MakeWay, seed: int) -> None:
         self.shape = shape
@@ -115,7 +115,7 @@
         self._weights = weights + [0.0] * (shape.instances - shape.through)
 
     def play(self) -> Counts:
-        """Return what came of it."""
+        """Run the simulation and return its counts."""
         for index in range(self.shape.instances):
             self._schedule(
                 self._random.random() * UPDATE_SECONDS, partial(self._send_updates, index)
@@ -197,7 +197,7 @@
                 self._deliver(partial(way.receive, entries))
 
     def _entries_for(self, way: Way, grants: Iterable[GrantEntry]) -> list[GrantEntry]:
-        """Return what one instance is told: a level that was told is what is left."""
+        """Return the grants for one instance; `ToldLevel` receives the level that is left."""
         match way:
             case ToldLevel():
                 left = self._totals.left("w")
@@ -207,5 +207,5 @@
 
 
 def play(shape: Shape, make: MakeWay = Granted, seed: int = 1) -> Counts:
-    """Return the counts of one play of ``shape``."""
+    """Return the counts of one simulation of ``shape``."""
     return World(shape, make, seed).play()
