--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/__init__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/__init__.py
@@ -1,5 +1,5 @@
-"""Histories of owners, a table and one engine in one process, on a clock of their own.
+"""Simulated histories of owners, a table and one engine, in one process on a fake clock.
 
-The daemon's own code for leases, ledger and orders runs over small fakes of
-what it talks to; faults come from a random source or from a test.
+The daemon's own code for leases, ledger and orders runs against small fakes of the table
+and the engine; faults come from a random source or from a test.
 """
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/clock.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/clock.py
@@ -1,4 +1,4 @@
-"""A clock that only moves when told, with things that happen at their time."""
+"""A fake clock that is advanced explicitly and runs scheduled actions."""
 
 import heapq
 import itertools
@@ -14,15 +14,15 @@
         self.now = 0.0
 
     def read(self) -> float:
-        """Return the time."""
+        """Return the current time in seconds."""
         return self.now
 
     def call_later(self, seconds: float, action: Callable[[], None]) -> None:
-        """Run ``action`` when the clock gets there."""
+        """Run ``action`` when the clock has advanced by ``seconds``."""
         heapq.heappush(self._due, (self.now + seconds, next(self._count), action))
 
     def advance(self, seconds: float) -> None:
-        """Move on, running what falls due in its order."""
+        """Advance the clock, running due actions in the order of their times."""
         end = self.now + seconds
         while self._due and self._due[0][0] <= end:
             at, _, action = heapq.heappop(self._due)
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/control.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/control.py
@@ -1,4 +1,4 @@
-"""Polls and orders of one instance, with faults, in place of the network."""
+"""Engine control of one instance with injected faults, without a network."""
 
 import random
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class FaultyControl(EngineControl):
-    """Asks the guard where the daemon's own client asks it: before and right at the send."""
+    """Calls the guard where the daemon's own client does: before the call and right at the send."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._on_sent = on_sent
 
     def report(self, engine: EngineMember) -> Report:
-        """Poll, unless a fault strikes."""
+        """Return the report of the engine, unless a fault strikes."""
         fault = self._faults(Point.POLL)
         self._strike(fault, "before")
         process = self._engine_at(engine.url)
@@ -47,7 +47,7 @@
         return report
 
     def raise_fence(self, engine: EngineMember, fence: int) -> None:
-        """Raise the fence, if the engine has one and still runs."""
+        """Raise the fence of the engine, if its process still runs."""
         process = self._engine_at(engine.url)
         if process is None:
             raise UpstreamError(engine.id, "no answer", run=RunState.UNKNOWN)
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/engine.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's orders and memory on a clock that only moves when told."""
+"""Fake engine: orders and memory of the engine stand-in on a fake clock."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 class FakeEngine:
-    """One process of an engine; a restart makes a new one with empty memory."""
+    """One process of an engine; a restart creates another one with empty memory."""
 
     def __init__(
         self,
@@ -35,13 +35,13 @@
         self.fence = 0
 
     def raise_fence(self, fence: int) -> None:
-        """Refuse every order below ``fence`` from now on; raise `StaleFence`."""
+        """Refuse orders below ``fence`` from now on; raises `StaleFence` if it is itself too low."""
         if self._checks_fencing and fence < self.fence:
             raise StaleFence(str(self.fence))
         self.fence = max(self.fence, fence)
 
     def accept(self, order: Order) -> None:
-        """Begin ``order`` unless it is known; raise `StaleFence`."""
+        """Begin ``order`` unless its id was seen before; raises `StaleFence`."""
         self.raise_fence(order.fence)
         if order.order_id in self._status_by_id:
             return
@@ -52,7 +52,7 @@
             self._unload(order)
 
     def report(self) -> Report:
-        """Return the state of this instant."""
+        """Return the current state."""
         return Report(
             leaving=False,
             capacity_bytes=self.memory.capacity_bytes,
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/faults.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/faults.py
@@ -1,4 +1,4 @@
-"""Faults that can strike a call of an owner."""
+"""Faults that can be injected into an owner's calls."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class Fault(StrEnum):
-    """What can happen to the call, to its message or to its sender."""
+    """A fault of the call, of its message or of its sender."""
 
     REFUSED = "refused"
     LOST = "lost"
@@ -50,9 +50,9 @@
     Point.LOAD: [Fault.FAILED],
 }
 
-# Returns the fault that strikes the next call at a point, None for none.
+# Returns the fault of the next call at a point, or None.
 FaultSource = Callable[[Point], Fault | None]
 
 
 class Killed(BaseException):
-    """The instance that made the call is gone; nothing of it may go on."""
+    """The calling instance was killed; a BaseException, so that none of its code continues."""
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/history.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/history.py
@@ -1,4 +1,4 @@
-"""One random history, wholly given by its seed."""
+"""One random history, determined by its seed."""
 
 import random
 from typing import NamedTuple
@@ -20,7 +20,7 @@
 
 
 class Judgement(NamedTuple):
-    """What a history came to; it is good when ``violations`` is empty."""
+    """The result of a history; ``violations`` is empty if no invariant was broken."""
 
     seed: int
     checks_fencing: bool
@@ -31,7 +31,7 @@
 
 
 def run_history(seed: int) -> Judgement:
-    """Run a history with faults, then one minute without, and judge it."""
+    """Run a history with faults, then one minute without them, and return its result."""
     rng = random.Random(seed)
     fault_free = False
 
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/owner.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/owner.py
@@ -1,4 +1,4 @@
-"""One instance of a history: the daemon's session, ownership and owner, wired."""
+"""One instance of a history, wired from the daemon's session, ownership and owner."""
 
 from collections.abc import Callable
 from types import SimpleNamespace
@@ -20,7 +20,7 @@
 
 
 class OwnerWiring(NamedTuple):
-    """What differs between instances, and what of the world they see."""
+    """Identity of an instance, and its access to the simulated world."""
 
     instance: str
     boot: int
@@ -33,7 +33,7 @@
 
 
 class FakeOwner:
-    """Takes steps when told; configuration, plan and drains are stubs."""
+    """Runs the owner one step at a time; configuration, plan and drains are stubs."""
 
     def __init__(self, engine: str, wiring: OwnerWiring) -> None:
         clock, table, lease = wiring.clock, wiring.table, wiring.lease_seconds
@@ -59,7 +59,7 @@
         self._owner = EngineOwner(engine, parts)
 
     def step(self, engine: EngineMember) -> None:
-        """Do what the daemon's thread for this engine does once."""
+        """Run one iteration of the daemon's thread for this engine."""
         grant = self.ownership.try_acquire(self._engine) or self.ownership.last_grant(self._engine)
         if grant is not None:
             self._owner.step(engine, grant)
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/table.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/table.py
@@ -1,4 +1,4 @@
-"""The platform's table as one instance sees it, with faults."""
+"""The platform's table as one instance sees it, with injected faults."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 class FaultyTable(Table):
-    """The daemon's table client over the stand-in's rows, without a network."""
+    """Replaces the daemon's table client; uses the stand-in's table without a network."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._is_down = is_down
 
     def read(self, keys: list[str]) -> dict[str, Row | None]:
-        """Return rows, unless a fault strikes."""
+        """Return the rows of ``keys``, unless a fault strikes."""
         fault = self._faults(Point.READ)
         self._strike(fault, "before")
         if fault is Fault.REFUSED or self._is_down():
@@ -43,7 +43,7 @@
         return rows
 
     def commit(self, transaction: Transaction) -> Committed | Conflict:
-        """Commit now, later or not at all."""
+        """Commit now, late or not at all, depending on the fault."""
         fault = self._faults(Point.COMMIT)
         self._strike(fault, "before")
         if fault is Fault.REFUSED or self._is_down():
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/world.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/world.py
@@ -1,4 +1,4 @@
-"""A few instances, one table and one engine, with what must hold for them."""
+"""A few instances, one table and one engine, with checks of their invariants."""
 
 import contextlib
 import random
@@ -36,7 +36,7 @@
 
 
 class World:
-    """Moves only when told; collects what was violated."""
+    """Simulated world that is advanced explicitly; collects violated invariants."""
 
     def __init__(
         self, rng: random.Random, faults: FaultSource, *, checks_fencing: bool, instances: int = 3
@@ -60,7 +60,7 @@
         self.owners = [self._new_owner(number) for number in range(instances)]
 
     def step(self, number: int) -> None:
-        """Let instance ``number`` renew its session and work once; it may be killed."""
+        """Let instance ``number`` renew its session and run one step; restart it if it is killed."""
         owner = self.owners[number]
         try:
             owner.session.renew()
@@ -70,12 +70,12 @@
         self._check()
 
     def advance(self, seconds: float) -> None:
-        """Move the clock."""
+        """Advance the clock and check the invariants."""
         self.clock.advance(seconds)
         self._check()
 
     def set_plan(self, units: Iterable[str]) -> None:
-        """Plan ``units`` and the bases they need, as far as they fit."""
+        """Plan ``units`` with the base models that they need, as far as they fit."""
         planned: list[PlannedUnit] = []
         for unit in units:
             base = unit.partition(":")[0]
@@ -87,34 +87,34 @@
         self._plan = Plan(sequence, 1, {ENGINE: planned})
 
     def restart_engine(self) -> None:
-        """End the engine's process; a new one is listed with its own address."""
+        """Replace the engine's process; the new one is listed under an address of its own."""
         self.engine = self._new_engine()
         self.member = self._new_member()
 
     def restart_instance(self, number: int) -> None:
-        """Kill an instance; another process takes its id."""
+        """Kill an instance; a new process takes over its id."""
         self.owners[number] = self._new_owner(number)
 
     def stop_instance(self, number: int) -> None:
-        """Stop an instance as planned; another process takes its id."""
+        """Stop an instance gracefully; a new process takes over its id."""
         with contextlib.suppress(Killed):
             self.owners[number].ownership.end()
         self.restart_instance(number)
 
     def hand_over(self, number: int) -> None:
-        """Let an instance give the engine back, as when it falls to another one."""
+        """Let an instance release the engine, as when another instance becomes responsible."""
         try:
             self.owners[number].ownership.release(ENGINE)
         except Killed:
             self.restart_instance(number)
 
     def double_instance(self, number: int) -> None:
-        """Start a second process of an instance whose first one lives on, thought dead."""
+        """Start a second process of an instance whose first process still runs unnoticed."""
         self._names.append(self._names[number])
         self.owners.append(self._new_owner(len(self.owners)))
 
     def has_converged(self) -> bool:
-        """Return whether exactly the plan is resident and answers."""
+        """Return whether exactly the planned units are resident and ready."""
         planned = {p.unit for p in self._plan.units_by_engine[ENGINE]} if self._plan else set()
         residents = self.engine.memory.residents()
         return {r.unit for r in residents if r.phase == "ready"} == planned and len(
@@ -150,7 +150,7 @@
                 raise Killed
 
     def _pause(self, number: int) -> None:
-        """Let the others go on while instance ``number`` stands in the midst of a call."""
+        """Let the other instances run while instance ``number`` is paused during a call."""
         if self._pausing:
             return
         self._pausing = True
