--- a/benchmarks/threads.py
+++ b/benchmarks/threads.py
@@ -67,7 +67,7 @@
     """Return the counts while ``streams`` are open."""
     with ThreadPoolExecutor(max(1, streams)) as callers:
         open_ = [
-            callers.submit(instance.ask, "m1", EVENTS, request=f"s{streams}-{n}")
+            callers.submit(instance.request_stream, "m1", EVENTS, request=f"s{streams}-{n}")
             for n in range(streams)
         ]
         time.sleep(SETTLE_SECONDS / 2 if streams else SETTLE_SECONDS)
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_backpressure.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_backpressure.py
@@ -19,7 +19,9 @@
 def send_until(instance, end, caller):
     answered = []
     while time.monotonic() < end:
-        answered.append(instance.ask("m1", request=f"{instance.name}-{caller}-{len(answered)}")[0])
+        answered.append(
+            instance.request_stream("m1", request=f"{instance.name}-{caller}-{len(answered)}")[0]
+        )
     return answered
 
 
@@ -75,10 +77,10 @@
     deployment.worker("w2", "m2")
     instances = [deployment.instance(name) for name in INSTANCES]
     leaving.leaving = True
-    assert instances[0].ask("m1")[0] == 200
+    assert instances[0].request_stream("m1")[0] == 200
     for instance in instances:
         until(lambda log=instance.log: b"event=upstream_leaving" in log.read_bytes(), "the update")
-    assert instances[2].ask("m1", request="later")[0] == 200
+    assert instances[2].request_stream("m1", request="later")[0] == 200
     assert leaving.runs == ["r1"]
 
 
@@ -88,6 +90,6 @@
     others = [deployment.worker("w2", "m2"), deployment.worker("w3", "m3", "m4")]
     one = deployment.instance("one")
     rejecting.retry_after = LONG_RETRY_AFTER_SECONDS
-    assert one.ask("m1")[0] == 200
+    assert one.request_stream("m1")[0] == 200
     assert any("m1" in other.models for other in others)
     assert not rejecting.runs
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_cut_from_the_store.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_cut_from_the_store.py
@@ -55,15 +55,15 @@
     one, two = deployment.instance("one"), deployment.instance("two", store_port=store_link.port)
     three = deployment.instance("three")
     until(lambda: deployment.leader() == "one", "the first leader")
-    assert two.ask(key="k1")[0] == 200
+    assert two.request_stream(key="k1")[0] == 200
     time.sleep(ANNOUNCEMENTS_END_SECONDS)
     store_link.refuse = True
     store_link.reset()
     until(lambda: b"event=store_lost" in two.log.read_bytes(), "the loss of the store")
     one.end(signal.SIGTERM)
     deployment.rows.put("op", "config", keyed_document(3, "k2"))
-    until(lambda: two.ask(key="k1")[0] == 401, "the end of the key")
-    assert two.ask(key="k2")[0] == 200
-    assert three.ask(key="k1")[0] == 401
+    until(lambda: two.request_stream(key="k1")[0] == 401, "the end of the key")
+    assert two.request_stream(key="k2")[0] == 200
+    assert three.request_stream(key="k1")[0] == 401
     until(lambda: deployment.leader() == "three", "the next leader")
     until(lambda: b"giver=three" in two.log.read_bytes(), "the next leader at the cut instance")
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_hosted.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_hosted.py
@@ -17,7 +17,7 @@
 def test_stream_is_served_and_counted(deployment):
     deployment.worker("w1", "m1")
     one = deployment.instance("one")
-    assert one.ask("m1", 4) == (200, [1, 2, 3, 4])
+    assert one.request_stream("m1", 4) == (200, [1, 2, 3, 4])
     counters = [
         line
         for line in one.metrics().splitlines()
@@ -29,7 +29,7 @@
 def test_model_without_holder_is_loaded_for_a_request(deployment):
     worker = deployment.worker("w1", "m1")
     one = deployment.instance("one")
-    assert one.ask("m2")[0] == 200
+    assert one.request_stream("m2")[0] == 200
     assert [order["Op"] for order in worker.orders] == ["load"]
     assert worker.orders[0]["Holder"] == "one"
 
@@ -37,7 +37,7 @@
 def test_adapter_is_loaded_for_a_request(deployment):
     worker = deployment.worker("w1", "m1")
     one = deployment.instance("one")
-    assert one.ask("m1/a2")[0] == 200
+    assert one.request_stream("m1/a2")[0] == 200
     # A model that is resident nowhere may be loaded into free memory before the request.
     adapters = [order["Adapter"] for order in worker.orders if "Adapter" in order]
     assert adapters == ["a2"]
@@ -48,7 +48,7 @@
     one = deployment.instance("one")
     for _ in range(3):
         os.kill(one.process.pid, signal.SIGHUP)
-        assert one.ask("m1")[0] == 200
+        assert one.request_stream("m1")[0] == 200
     until(lambda: b"event=reloaded" in one.log.read_bytes(), "the log line of the reload")
     assert one.process.poll() is None
 
@@ -59,7 +59,7 @@
     deployment.worker("w1", "m1", timing=WorkerTiming(gap=0.1))
     one = deployment.instance("one")
     with ThreadPoolExecutor(5) as pool:
-        streams = [pool.submit(one.ask, "m1", 30, request=f"r{n}") for n in range(5)]
+        streams = [pool.submit(one.request_stream, "m1", 30, request=f"r{n}") for n in range(5)]
         until(lambda: len(deployment.workers["w1"].runs) == 5, "all runs")
         os.kill(one.process.pid, signal.SIGTERM)
         until(lambda: one.status() != 200, "unreadiness")
@@ -88,7 +88,7 @@
     one = deployment.instance("one")
     deployment.rows.down = True
     until(lambda: b"event=store_lost" in one.log.read_bytes(), "the loss of the store")
-    assert one.ask("m1")[0] == 200
+    assert one.request_stream("m1")[0] == 200
     assert one.status() == 200
     deployment.rows.down = False
     until(lambda: b"event=store_regained" in one.log.read_bytes(), "the recovery of the store")
@@ -97,13 +97,13 @@
 def test_change_of_the_configuration_is_in_force(deployment):
     deployment.worker("w1", "m1")
     one = deployment.instance("one")
-    assert one.ask("m1", path="/new/x")[0] == 404
+    assert one.request_stream("m1", path="/new/x")[0] == 404
     deployment.rows.put("op", "config", document(2, "/new/"))
-    until(lambda: one.ask("m1", path="/new/x")[0] == 200, "the new route")
-    assert one.ask("m1", path="/live/x")[0] == 404
+    until(lambda: one.request_stream("m1", path="/new/x")[0] == 200, "the new route")
+    assert one.request_stream("m1", path="/live/x")[0] == 404
     deployment.rows.put("op", "config", document(1))
     until(lambda: b"before=1" in one.log.read_bytes(), "the log line of the version change")
-    assert one.ask("m1", path="/new/x")[0] == 200
+    assert one.request_stream("m1", path="/new/x")[0] == 200
 
 
 def test_another_instance_becomes_leader(deployment):
@@ -113,10 +113,13 @@
     first = deployment.instance("one")
     until(lambda: deployment.leader() == "one", "the first leader")
     second = deployment.instance("two")
-    assert second.ask("m2")[0] == 200
+    assert second.request_stream("m2")[0] == 200
     first.end()
     until(lambda: deployment.leader() == "two", "the second leader")
-    until(lambda: second.ask("m3", request="r9")[0] == 200, "a model that the second leader loads")
+    until(
+        lambda: second.request_stream("m3", request="r9")[0] == 200,
+        "a model that the second leader loads",
+    )
     fences = [order["Fence"] for order in worker.orders]
     assert fences == sorted(fences)
     assert [worker.orders[0]["Holder"], worker.orders[-1]["Holder"]] == ["one", "two"]
@@ -133,7 +136,7 @@
         "the log line of the leaving upstream",
     )
     runs = len(leaving.runs)
-    assert all(one.ask("m1", request=f"r{n}")[0] == 200 for n in range(5))
+    assert all(one.request_stream("m1", request=f"r{n}")[0] == 200 for n in range(5))
     assert len(leaving.runs) == runs
 
 
@@ -144,7 +147,7 @@
     deployment.worker("w1", "m1")
     one = deployment.instance("one", pipe=(reader, writer))
     try:
-        assert all(one.ask("m1", 1, request=f"r{n:04}")[0] == 200 for n in range(250))
+        assert all(one.request_stream("m1", 1, request=f"r{n:04}")[0] == 200 for n in range(250))
     finally:
         one.end()
         os.close(reader)
@@ -172,14 +175,16 @@
     one = deployment.instance("one")
     answering = one.settings["request_threads"] - 3
     with ThreadPoolExecutor(answering + 10) as pool:
-        streams = [pool.submit(one.ask, "m1", 12, request=f"s{n}") for n in range(answering)]
+        streams = [
+            pool.submit(one.request_stream, "m1", 12, request=f"s{n}") for n in range(answering)
+        ]
         until(lambda: one.log.read_bytes().count(b"event=sent ") >= answering, "open streams")
-        refused = [pool.submit(one.ask, "m1", 3, request=f"r{n}") for n in range(10)]
+        refused = [pool.submit(one.request_stream, "m1", 3, request=f"r{n}") for n in range(10)]
         assert [each.result()[0] for each in refused] == [503] * 10
         assert one.status() == 200
         assert [each.result() for each in streams] == [(200, [*range(1, 13)])] * answering
     assert one.log.read_bytes().count(b"outcome=no_thread run=not_run") == 10
-    assert one.ask("m1", 3) == (200, [1, 2, 3])
+    assert one.request_stream("m1", 3) == (200, [1, 2, 3])
 
 
 def test_number_of_instances_outlasts_their_processes(deployment):
--- a/packages/redwingscale-daemon/tests/functional/hosted/test_rate_limits.py
+++ b/packages/redwingscale-daemon/tests/functional/hosted/test_rate_limits.py
@@ -21,7 +21,7 @@
 
 def send_until(instance, end, ids):
     while time.monotonic() < end:
-        instance.ask("m1", request=f"{instance.name}-{next(ids)}")
+        instance.request_stream("m1", request=f"{instance.name}-{next(ids)}")
 
 
 def test_all_instances_together_keep_the_rate_limit_of_an_upstream(deployment):
@@ -30,7 +30,7 @@
     instances = [deployment.instance(name) for name in ("one", "two", "three")]
     worker.rate_limit = RATE
     for instance in instances:
-        assert instance.ask("m1", request=f"{instance.name}-first")[0] == 200
+        assert instance.request_stream("m1", request=f"{instance.name}-first")[0] == 200
     named_at = time.monotonic()
     ids = itertools.count()
     with ThreadPoolExecutor(len(instances) * CALLERS_EACH) as pool:
@@ -46,14 +46,14 @@
     instances = [deployment.instance(name) for name in ("one", "two")]
     limited.rate_limit = RATE
     for instance in instances:
-        assert instance.ask("m1", request=f"{instance.name}-first")[0] == 200
+        assert instance.request_stream("m1", request=f"{instance.name}-first")[0] == 200
     named_at = time.monotonic()
     busy, rare = [], []
     for number in range(BUSY_REQUESTS):
         instance = instances[number % len(instances)]
-        busy.append(instance.ask("m1", request=f"busy-{number}")[0])
+        busy.append(instance.request_stream("m1", request=f"busy-{number}")[0])
         if number % RARE_EVERY == 0:
-            rare.append(instance.ask("m2", request=f"rare-{number}")[0])
+            rare.append(instance.request_stream("m2", request=f"rare-{number}")[0])
     assert set(busy) == {200}
     assert set(rare) == {200}
     assert "m1" in deployment.workers["w2"].models
@@ -66,9 +66,9 @@
     worker = deployment.worker("w1", "m1")
     one = deployment.instance("one")
     worker.rate_limit = RATE
-    assert one.ask("m1", request="first")[0] == 200
+    assert one.request_stream("m1", request="first")[0] == 200
     worker.rate_limit = None
-    assert one.ask("m1", request="second")[0] == 200
+    assert one.request_stream("m1", request="second")[0] == 200
     until(lambda: b"upstream_rate_limit" in one.log.read_bytes(), "the log line of the limit")
     until(lambda: b"per_second=- before=1.0" in one.log.read_bytes(), "the end of the limit")
-    assert all(one.ask("m1", request=f"r{n}")[0] == 200 for n in range(20))
+    assert all(one.request_stream("m1", request=f"r{n}")[0] == 200 for n in range(20))
--- a/packages/redwingscale-standins/src/redwingscale_standins/hosted/instance_process.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/hosted/instance_process.py
@@ -1,4 +1,4 @@
-"""One ``redwingscaled`` that is routed by host and path, as a process on loopback."""
+"""A ``redwingscaled`` process on loopback that routes by host and path."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 
 
 class InstanceProcess:
-    """Starts at once; ``ports`` are those of callers, readiness and metrics."""
+    """Starts the process on construction; ``ports`` are the caller, readiness and metrics ports."""
 
     def __init__(
         self,
@@ -51,14 +51,14 @@
         self.log = directory / f"{name}.log"
         self._pipe = pipe
         self._stdout: Any = pipe[1] if pipe else self.log.open("ab")
-        self._log_start = 0
+        self._log_offset = 0
         self.ports: list[int] = []
         self.start()
 
     def start(self) -> None:
-        """Start the process, also anew after its end, and wait until its ports are known."""
+        """Start or restart the process and wait until its ports are known."""
         self.ports = []
-        self._log_start = self.log.stat().st_size if self._pipe is None else 0
+        self._log_offset = self.log.stat().st_size if self._pipe is None else 0
         self.process = subprocess.Popen(
             [sys.executable, "-m", "redwingscale_daemon", "--settings", str(self._file)],
             stdout=self._stdout,
@@ -67,11 +67,11 @@
         until(self._has_started, f"the start of {self.name}")
 
     def _has_started(self) -> bool:
-        """Learn the ports from the line of the start; the process takes free ones."""
+        """Read the ports from the start-up log line, since the process binds to free ports."""
         if self._pipe:
             text = os.read(self._pipe[0], 65536)
         else:
-            text = self.log.read_bytes()[self._log_start :]
+            text = self.log.read_bytes()[self._log_offset :]
         line = re.search(rb"event=started .*callers_port=(\d+) probe_ports=(\d+),(\d+)", text)
         if line is None:
             assert self.process.poll() is None, f"{self.name} ended: {text[-500:]!r}"
@@ -80,7 +80,7 @@
         return True
 
     def status(self) -> int | None:
-        """Return the readiness port's status, None without an answer."""
+        """Return the readiness port's status, or None if it does not respond."""
         try:
             url = f"http://127.0.0.1:{self.ports[1]}/api/readyz"
             return urllib3.request("GET", url, retries=False, timeout=2.0).status
@@ -92,7 +92,7 @@
         url = f"http://127.0.0.1:{self.ports[2]}/metrics"
         return urllib3.request("GET", url, retries=False, timeout=5.0).data.decode()
 
-    def ask(
+    def request_stream(
         self,
         model: str = "m1",
         events: int = 3,
@@ -101,7 +101,7 @@
         timeout: float = 25.0,
         key: str | None = None,
     ) -> tuple[int, list[int]]:
-        """Return status and the numbers of the events of one stream."""
+        """Request one stream and return its status and the ids of its events."""
         headers = {
             "Host": HOST,
             "X-Redwingscale-Request-Id": request,
@@ -111,14 +111,14 @@
         if key is not None:
             headers["Authorization"] = f"Bearer {key}"
         url = f"http://127.0.0.1:{self.ports[0]}{path}"
-        answer = urllib3.request(
+        response = urllib3.request(
             "POST", url, body=b"{}", headers=headers, retries=False, timeout=timeout
         )
-        lines = answer.data.decode().splitlines()
-        return answer.status, [int(one[4:]) for one in lines if one.startswith("id: ")]
+        lines = response.data.decode().splitlines()
+        return response.status, [int(line[4:]) for line in lines if line.startswith("id: ")]
 
-    def end(self, number: int = signal.SIGKILL) -> int:
-        """Signal the process if it runs, and return its exit code."""
+    def end(self, signal_number: int = signal.SIGKILL) -> int:
+        """Send a signal to the process if it is running, and return its exit code."""
         if self.process.poll() is None:
-            os.kill(self.process.pid, number)
+            os.kill(self.process.pid, signal_number)
         return self.process.wait(WAIT_SECONDS)
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/soak.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/soak.py
@@ -112,7 +112,7 @@
         request = f"ffff{number:08x}"
         world.ledger.probes.add(request)
         with contextlib.suppress(urllib3.exceptions.HTTPError):
-            if node.process.ask(model, 2, request=request, key=STEADY_KEY)[0] == 200:
+            if node.process.request_stream(model, 2, request=request, key=STEADY_KEY)[0] == 200:
                 continue
         wanted.append((node, model))
         time.sleep(0.1)
