--- a/packages/redwingscale-standins/src/redwingscale_standins/hosted/documents.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/hosted/documents.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the platform keeps it."""
+"""Configuration documents in the platform's format."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 
 def document(version: int, prefix: str = "/live/") -> dict[str, Any]:
-    """Return one version: a route of streams, and a service with four models."""
+    """Return a configuration with one streaming route and one service of four models."""
     engine = {
         "Slots": 64,
         "KvCapacity": 100000,
@@ -32,7 +32,7 @@
 
 
 def stream_route(name: str, prefix: str) -> dict[str, Any]:
-    """Return a route of streams that may be resumed."""
+    """Return a streaming route whose streams can be resumed."""
     return {
         "Name": name,
         "Host": HOST,
@@ -51,7 +51,7 @@
 def keyed_document(
     version: int, *keys: str, per_second: float = 0, burst: float = 0
 ) -> dict[str, Any]:
-    """Return a version whose callers need one of ``keys``, all of the workspace "clerks"."""
+    """Return a configuration that requires one of ``keys``, all owned by the workspace "clerks"."""
     clerks = {"Name": "clerks", "ApiKeys": list(keys), "Priority": 1, "Unit": "token_stream"}
     limit = {"PlainTokens": 100, "RatePerS": per_second, "Burst": burst}
     return document(version) | {"Tenants": [clerks | limit]}
--- a/packages/redwingscale-standins/src/redwingscale_standins/hosted/model_worker.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/hosted/model_worker.py
@@ -1,4 +1,4 @@
-"""A model worker: streams of numbered events, reports, orders."""
+"""A model worker that streams numbered events, serves reports and takes orders."""
 
 import threading
 import time
@@ -9,25 +9,25 @@
 from redwingscale_common.network.exchange import json_response, read_body, read_json
 
 BODY_LIMIT = 1 << 20
-_ECHOED = ("X-Redwingscale-Request-Id",)
+_ECHOED_HEADERS = ("X-Redwingscale-Request-Id",)
 
 
 class WorkerTiming(NamedTuple):
-    """Seconds between events, and of a load."""
+    """The seconds between two events, and the seconds that a load takes."""
 
     gap: float = 0.005
     load: float = 0.05
 
 
 class Rejection(NamedTuple):
-    """A request that was rejected, and when, monotonic."""
+    """A rejected request and the monotonic time of the rejection."""
 
     request: str
     at: float
 
 
 class ModelWorker:
-    """Holds models that orders load; refuses what it does not hold or isn't meant for it."""
+    """Loads models as ordered; refuses requests for models that aren't resident or for another worker."""
 
     def __init__(
         self, worker_id: str, models: dict[str, set[str]], timing: WorkerTiming | None = None
@@ -36,15 +36,15 @@
         self.models = models
         self.orders: list[dict[str, Any]] = []
         self.runs: list[str] = []
-        # Requests a second that it says it takes of all instances, None while in no need.
+        # Rate limit over all instances that it advertises, in requests a second; None for no limit.
         self.rate_limit: float | None = None
-        # Whether all its answers say that it leaves.
+        # Whether every response announces that the worker is leaving.
         self.leaving = False
-        # It rejects requests and names this time while it isn't None.
+        # While set, requests are rejected with this many seconds in Retry-After.
         self.retry_after: float | None = None
-        # Of every request that was rejected with a time.
+        # Every request that was rejected with Retry-After.
         self.rejections: list[Rejection] = []
-        # Of every call, monotonic.
+        # Monotonic times of all calls.
         self.called_at: list[float] = []
         self._timing = timing or WorkerTiming()
         self._lock = threading.Lock()
@@ -52,7 +52,7 @@
 
     @cherrypy.expose
     def default(self, *segments: str, **_: str) -> bytes | Iterator[bytes]:
-        """Dispatch one call."""
+        """Dispatch one request."""
         headers = cherrypy.request.headers
         self.called_at.append(time.monotonic())
         if self.rate_limit is not None:
@@ -78,13 +78,13 @@
         response = cherrypy.response
         response.headers["Content-Type"] = "text/event-stream"
         response.headers["X-Redwingscale-Response-Seal"] = "seal"
-        for header in _ECHOED:
+        for header in _ECHOED_HEADERS:
             response.headers[header] = headers[header]
         response.stream = True
         self.runs.append(headers["X-Redwingscale-Request-Id"])
         first = int(headers.get("Last-Event-Id", "0")) + 1
-        most = int(headers["X-Redwingscale-Token-Usage"].partition(",")[2])
-        return self._events(first, most)
+        last = int(headers["X-Redwingscale-Token-Usage"].partition(",")[2])
+        return self._events(first, last)
 
     def _events(self, first: int, last: int) -> Iterator[bytes]:
         for number in range(first, last + 1):
@@ -95,7 +95,7 @@
         cherrypy.response.status = status
         cherrypy.response.headers["X-Redwingscale-Not-Executed"] = "1"
         cherrypy.response.headers["X-Redwingscale-Instance-Id"] = self.id
-        for header in _ECHOED:
+        for header in _ECHOED_HEADERS:
             cherrypy.response.headers[header] = cherrypy.request.headers.get(header, "")
         return b""
 
@@ -116,17 +116,17 @@
     def _order(self, order: dict[str, Any]) -> bytes:
         with self._lock:
             if self._busy or order.get("Expect", len(self.orders)) != len(self.orders):
-                return self._status(409)
+                return self._respond(409)
             self.orders.append(order)
             if "Adapter" in order:
                 adapters = self.models[order["Model"]]
                 (adapters.add if order["Op"] == "load" else adapters.discard)(order["Adapter"])
-                return self._status(202 if order["Op"] == "load" else 200)
+                return self._respond(202 if order["Op"] == "load" else 200)
             self._busy = True
-        threading.Timer(self._timing.load, self._carry_out, [order]).start()
-        return self._status(202)
+        threading.Timer(self._timing.load, self._finish_order, [order]).start()
+        return self._respond(202)
 
-    def _carry_out(self, order: dict[str, Any]) -> None:
+    def _finish_order(self, order: dict[str, Any]) -> None:
         with self._lock:
             if order["Op"] == "load":
                 self.models[order["Model"]] = set()
@@ -134,6 +134,6 @@
                 self.models.pop(order["Model"], None)
             self._busy = False
 
-    def _status(self, status: int) -> bytes:
+    def _respond(self, status: int) -> bytes:
         cherrypy.response.status = status
         return b""
--- a/packages/redwingscale-standins/src/redwingscale_standins/hosted/rows_api.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/hosted/rows_api.py
@@ -1,4 +1,4 @@
-"""The row store: reads, waiting reads of changes, conditional writes."""
+"""A row store with reads, long polls for changes, and conditional writes."""
 
 import base64
 import threading
@@ -10,24 +10,24 @@
 from redwingscale_common.network.exchange import json_response, read_json
 
 BODY_LIMIT = 1 << 20
-MOST_WAIT_SECONDS = 30.0
-_HEAD_FIELDS = ("Table", "part", "Key")
+MAX_WAIT_SECONDS = 30.0
+_KEY_FIELDS = ("Table", "part", "Key")
 
-Place = tuple[str, str, str]
+RowKey = tuple[str, str, str]
 
 
 class RowsApi:
-    """Rows by table, partition and key; ``down`` makes every call fail with 503."""
+    """Stores rows by table, partition and key; while ``down`` is set, every request fails with 503."""
 
     def __init__(self) -> None:
         self._condition = threading.Condition()
-        self._rows: dict[Place, tuple[int, str]] = {}
-        self._dropped: dict[Place, int] = {}
+        self._rows: dict[RowKey, tuple[int, str]] = {}
+        self._deleted: dict[RowKey, int] = {}
         self._version = 0
         self.down = False
 
     def put(self, table: str, key: str, value: object) -> None:
-        """Write a row as the platform itself does."""
+        """Write a row unconditionally, as the platform does."""
         encoded = base64.b64encode(msgspec.json.encode(value)).decode()
         with self._condition:
             self._version += 1
@@ -35,21 +35,21 @@
             self._condition.notify_all()
 
     def remove(self, table: str, key: str) -> None:
-        """Drop a row as the platform itself does."""
+        """Delete a row unconditionally, as the platform does."""
         with self._condition:
             self._version += 1
             self._rows.pop((table, "", key), None)
-            self._dropped[(table, "", key)] = self._version
+            self._deleted[(table, "", key)] = self._version
             self._condition.notify_all()
 
     def value(self, table: str, key: str) -> Any:
-        """Return a row's value, None without one."""
+        """Return the decoded value of a row, or None if there is no such row."""
         row = self._rows.get((table, "", key))
         return None if row is None else msgspec.json.decode(base64.b64decode(row[1]))
 
     @cherrypy.expose
     def default(self, *segments: str, **query: str) -> bytes:
-        """Dispatch one call."""
+        """Dispatch one request."""
         if self.down:
             raise cherrypy.HTTPError(503)
         match cherrypy.request.method, segments:
@@ -63,52 +63,52 @@
 
     def _get(self, table: str, part: str) -> bytes:
         with self._condition:
-            found = [place for place in sorted(self._rows) if place[:2] == (table, part)]
-            return self._page([self._row(place) for place in found])
+            keys = [key for key in sorted(self._rows) if key[:2] == (table, part)]
+            return self._respond([self._row(key) for key in keys])
 
     def _feed(self, table: str, after: int, wait_ms: int) -> bytes:
-        deadline = time.monotonic() + min(MOST_WAIT_SECONDS, wait_ms / 1000)
+        deadline = time.monotonic() + min(MAX_WAIT_SECONDS, wait_ms / 1000)
         with self._condition:
             while not (changed := self._changed(table, after)):
-                left = deadline - time.monotonic()
-                if left <= 0:
+                remaining = deadline - time.monotonic()
+                if remaining <= 0:
                     break
-                self._condition.wait(left)
-            return self._page(changed)
+                self._condition.wait(remaining)
+            return self._respond(changed)
 
     def _changed(self, table: str, after: int) -> list[dict[str, Any]]:
-        written = [p for p, (version, _) in self._rows.items() if version > after]
-        gone = [p for p, version in self._dropped.items() if version > after]
-        rows = [self._row(p) for p in written if p[0] == table]
+        written = [key for key, (version, _) in self._rows.items() if version > after]
+        deleted = [key for key, version in self._deleted.items() if version > after]
+        rows = [self._row(key) for key in written if key[0] == table]
         rows += [
-            {**dict(zip(_HEAD_FIELDS, p, strict=True)), "Deleted": True}
-            for p in gone
-            if p[0] == table
+            {**dict(zip(_KEY_FIELDS, key, strict=True)), "Deleted": True}
+            for key in deleted
+            if key[0] == table
         ]
         return rows
 
     def _write(self, body: dict[str, Any]) -> bytes:
         with self._condition:
             for expected in body["Expect"]:
-                if self._rows.get(_place(expected), (0, ""))[0] != expected["RowVersion"]:
+                if self._rows.get(_row_key(expected), (0, ""))[0] != expected["RowVersion"]:
                     cherrypy.response.status = 412
-                    return self._page([])
+                    return self._respond([])
             self._version += 1
             for put in body["Puts"]:
-                self._rows[_place(put)] = (self._version, put["Value"])
+                self._rows[_row_key(put)] = (self._version, put["Value"])
             self._condition.notify_all()
-            return self._page([])
+            return self._respond([])
 
-    def _row(self, place: Place) -> dict[str, Any]:
-        version, value = self._rows[place]
-        head = dict(zip(_HEAD_FIELDS, place, strict=True))
-        return {**head, "Value": value, "RowVersion": version}
+    def _row(self, key: RowKey) -> dict[str, Any]:
+        version, value = self._rows[key]
+        key_fields = dict(zip(_KEY_FIELDS, key, strict=True))
+        return {**key_fields, "Value": value, "RowVersion": version}
 
-    def _page(self, rows: list[dict[str, Any]]) -> bytes:
+    def _respond(self, rows: list[dict[str, Any]]) -> bytes:
         status = cherrypy.response.status or 200
         page = {"Rows": rows, "Truncated": False, "RowVersion": self._version, "NowMs": 0}
         return json_response(page, int(status))
 
 
-def _place(row: dict[str, Any]) -> Place:
+def _row_key(row: dict[str, Any]) -> RowKey:
     return (row["Table"], row.get("part", ""), row["Key"])
--- a/packages/redwingscale-standins/src/redwingscale_standins/hosted/waiting.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/hosted/waiting.py
@@ -1,4 +1,4 @@
-"""Bounded waits for what other processes do."""
+"""Bounded waits for conditions that other processes bring about."""
 
 import time
 from collections.abc import Callable
@@ -7,8 +7,8 @@
 
 
 def until(condition: Callable[[], bool], what: str, seconds: float = WAIT_SECONDS) -> None:
-    """Return once ``condition`` holds; raise AssertionError after ``seconds``."""
-    end = time.monotonic() + seconds
+    """Return once ``condition`` is true; raise AssertionError after ``seconds``."""
+    deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < end, f"{what} did not come"
+        assert time.monotonic() < deadline, f"timed out waiting for {what}"
         time.sleep(0.05)
