--- a/packages/redwingscale-standins/src/redwingscale_standins/hosted/__init__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/hosted/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for a platform that lists upstreams and stores rows: its row store and a model worker."""
+"""Stand-ins for a platform that lists upstreams: its row store and a model worker."""
--- a/packages/redwingscale-standins/src/redwingscale_standins/hosted/model_worker.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/hosted/model_worker.py
@@ -8,7 +8,7 @@
 import cherrypy
 from redwingscale_common.network.exchange import json_response, read_body, read_json
 
-BODY_LIMIT = 1 << 20
+BODY_LIMIT_BYTES = 1 << 20
 _ECHOED_HEADERS = ("X-Redwingscale-Request-Id",)
 
 
@@ -27,7 +27,7 @@
 
 
 class ModelWorker:
-    """Loads models as ordered; refuses requests for models that aren't resident or for another worker."""
+    """Loads models as ordered; refuses requests for another worker or a model not resident."""
 
     def __init__(
         self, worker_id: str, models: dict[str, set[str]], timing: WorkerTiming | None = None
@@ -65,11 +65,11 @@
             case "GET", ("api", "report"):
                 return json_response(self._report())
             case "POST", ("api", "order"):
-                return self._order(read_json(BODY_LIMIT))
+                return self._order(read_json(BODY_LIMIT_BYTES))
         return self._run(headers)
 
     def _run(self, headers: Any) -> bytes | Iterator[bytes]:
-        read_body(BODY_LIMIT)
+        read_body(BODY_LIMIT_BYTES)
         name, _, adapter = headers["X-Redwingscale-Model-Name"].partition("/")
         if name not in self.models or (adapter and adapter not in self.models[name]):
             return self._refuse(421)
--- a/packages/redwingscale-standins/src/redwingscale_standins/hosted/rows_api.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/hosted/rows_api.py
@@ -9,7 +9,7 @@
 import msgspec
 from redwingscale_common.network.exchange import json_response, read_json
 
-BODY_LIMIT = 1 << 20
+BODY_LIMIT_BYTES = 1 << 20
 MAX_WAIT_SECONDS = 30.0
 _KEY_FIELDS = ("Table", "part", "Key")
 
@@ -17,7 +17,7 @@
 
 
 class RowsApi:
-    """Stores rows by table, partition and key; while ``down`` is set, every request fails with 503."""
+    """Stores rows by table, partition and key; ``down`` makes every request fail with 503."""
 
     def __init__(self) -> None:
         self._condition = threading.Condition()
@@ -58,7 +58,7 @@
             case "GET", ("api", "rows-feed"):
                 return self._feed(query["Table"], int(query["after"]), int(query["WaitMs"]))
             case "POST", ("api", "rows-tx"):
-                return self._write(read_json(BODY_LIMIT))
+                return self._write(read_json(BODY_LIMIT_BYTES))
         raise cherrypy.NotFound()
 
     def _get(self, table: str, part: str) -> bytes:
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/__init__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real instances, faults from outside, and checks while it runs."""
+"""A randomized soak test of real instances, with injected faults and checks."""
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/__main__.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds: ``python -m redwingscale_standins.soak --seeds 1-50``."""
+"""Runs soak seeds: ``python -m redwingscale_standins.soak --seeds 1-50``."""
 
 import tempfile
 from pathlib import Path
@@ -16,9 +16,13 @@
 
 def main(
     seeds: Annotated[str, typer.Option(help="one seed, or FIRST-LAST")] = "1-5",
-    seconds: Annotated[float, typer.Option(help="how long faults begin, for each seed")] = 12.0,
-    instances: Annotated[int, typer.Option(help="processes of the system")] = 4,
-    logs: Annotated[Path | None, typer.Option(help="where logs go; else a new folder")] = None,
+    seconds: Annotated[
+        float, typer.Option(help="seconds in which faults are started, for each seed")
+    ] = 12.0,
+    instances: Annotated[int, typer.Option(help="number of instance processes")] = 4,
+    logs: Annotated[
+        Path | None, typer.Option(help="directory for logs, by default a new temporary one")
+    ] = None,
 ) -> None:
     """Exit with 1 if any seed has a finding."""
     root = logs or Path(tempfile.mkdtemp(prefix="redwingscale-soak-"))
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/caller.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the soak: sends requests on kept connections and judges each answer."""
+"""A soak caller that sends requests on persistent connections and checks each response."""
 
 import contextlib
 import http.client
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from redwingscale_standins.hosted.documents import HOST
-from redwingscale_standins.soak.ledger import Told
+from redwingscale_standins.soak.ledger import RequestResult
 from redwingscale_standins.soak.world import (
     LIMITED_KEY,
     PLAIN_LIMIT_SECONDS,
@@ -19,20 +19,20 @@
 )
 
 STREAM_LIMIT_SECONDS = 8.0
-# Beyond the limit: half a second is promised; the rest is for a busy machine.
+# Tolerance beyond the limit: half a second is promised, the rest allows for a busy machine.
 LATE_SECONDS = 3.0
-# A change is in force within two seconds, of instances that nothing disturbs.
+# A change is in force within two seconds at undisturbed instances; the rest is tolerance.
 IN_FORCE_SECONDS = 2.5
-LEAVE_SECONDS = 0.15
-LEAVING_PART = 0.05
+DISCONNECT_SECONDS = 0.15
+DISCONNECT_FRACTION = 0.05
 PAUSE_SECONDS = 0.03
-_PROMISES = frozenset({408, 421, 429, 503})
+_NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 # How often each kind of request is sent, relative to the others.
 _WEIGHTS = {"stream": 5, "once": 3, "safe": 3, "newest": 1, "withdrawn": 1, "limited": 2}
 
 
-class _Ask(NamedTuple):
-    """A request, the longest that its answer may take, and whether its caller leaves."""
+class _Request(NamedTuple):
+    """A request, the time limit of its response, and whether its caller disconnects."""
 
     id: str
     kind: str
@@ -40,11 +40,11 @@
     body: bytes
     headers: dict[str, str]
     limit_seconds: float
-    leaves: bool
+    disconnects: bool
 
 
 class Caller(threading.Thread):
-    """Keeps its connection until it is closed, then takes an instance that is ready."""
+    """Keeps its connection until it closes, then connects to an instance not stopping."""
 
     def __init__(self, world: World, number: int, seed: int) -> None:
         super().__init__(name=f"caller-{number}", daemon=True)
@@ -53,7 +53,7 @@
         self._random = random.Random(seed * 1000 + number)
         self._connection: http.client.HTTPConnection | None = None
         self._node = world.nodes[number % len(world.nodes)]
-        self._sent = 0
+        self._sent_count = 0
         self.stopped = False
 
     def run(self) -> None:
@@ -62,14 +62,14 @@
             self._send(self._next())
             time.sleep(self._random.random() * PAUSE_SECONDS)
 
-    def _next(self) -> _Ask:
-        self._sent += 1
-        request = f"{self._number:04x}{self._sent:08x}"
+    def _next(self) -> _Request:
+        self._sent_count += 1
+        request_id = f"{self._number:04x}{self._sent_count:08x}"
         kind = self._random.choices([*_WEIGHTS], [*_WEIGHTS.values()])[0]
-        headers = {"Host": HOST, "X-Redwingscale-Request-Id": request}
+        headers = {"Host": HOST, "X-Redwingscale-Request-Id": request_id}
         headers["Authorization"] = f"Bearer {self._key(kind)}"
         body = self._random.randbytes(self._random.choice([0, 40, 3000]))
-        leaves = self._random.random() < LEAVING_PART
+        disconnects = self._random.random() < DISCONNECT_FRACTION
         if kind == "stream":
             model = self._random.choices(["m1", "m2", "m3", "m4"], [6, 3, 1, 1])[0]
             headers["X-Redwingscale-Model-Name"] = model
@@ -78,10 +78,10 @@
             path, limit = "/live/x", STREAM_LIMIT_SECONDS
         else:
             version = self._world.version
-            place = "once" if kind == "once" else "safe"
-            path = f"/v{version}/x" if kind == "newest" else f"/{place}/{request}?a=%2F"
+            segment = "once" if kind == "once" else "safe"
+            path = f"/v{version}/x" if kind == "newest" else f"/{segment}/{request_id}?a=%2F"
             limit = PLAIN_LIMIT_SECONDS
-        return _Ask(request, kind, path, body, headers, limit, leaves)
+        return _Request(request_id, kind, path, body, headers, limit, disconnects)
 
     def _key(self, kind: str) -> str:
         match kind:
@@ -92,7 +92,7 @@
             case _:
                 return STEADY_KEY
 
-    def _send(self, ask: _Ask) -> None:
+    def _send(self, request: _Request) -> None:
         connection = self._connect()
         if connection is None:
             time.sleep(0.05)
@@ -100,37 +100,37 @@
         node, process, sent_at = self._node, self._node.process.process, time.monotonic()
         status: int | None = None
         body = b""
-        whole = False
+        complete = False
         try:
-            connection.request("POST", ask.path, body=ask.body, headers=ask.headers)
-            if ask.leaves:
-                time.sleep(LEAVE_SECONDS)
+            connection.request("POST", request.path, body=request.body, headers=request.headers)
+            if request.disconnects:
+                time.sleep(DISCONNECT_SECONDS)
                 self._close()
             else:
                 response = connection.getresponse()
                 status = response.status
                 body = response.read()
-                whole = True
-                self._check(ask, node, response, body, process.pid)
+                complete = True
+                self._check(request, node, response, body, process.pid)
         except (OSError, http.client.HTTPException):
-            # A connection that ends is judged by what the workers ran.
+            # A connection that ends is checked by what the workers ran.
             self._close()
         ended_at = time.monotonic()
-        if status is not None and not whole and status >= 300:
+        if status is not None and not complete and status >= 300:
             status = None
-        self._check_time(ask, node, ended_at - sent_at)
-        self._world.ledger.ended(
-            Told(
-                ask.id,
-                ask.kind,
-                ask.path,
-                ask.body,
+        self._check_time(request, node, ended_at - sent_at)
+        self._world.ledger.add_result(
+            RequestResult(
+                request.id,
+                request.kind,
+                request.path,
+                request.body,
                 node.name,
                 status,
                 sent_at,
                 ended_at,
-                ask.leaves,
-                max(node.disturbance.at, self._world.store_disturbance.at),
+                request.disconnects,
+                max(node.disturbance.last_at, self._world.store_disturbance.last_at),
                 process.pid,
             )
         )
@@ -154,50 +154,64 @@
             self._connection = None
 
     def _check(
-        self, ask: _Ask, node: Node, response: http.client.HTTPResponse, body: bytes, pid: int
+        self,
+        request: _Request,
+        node: Node,
+        response: http.client.HTTPResponse,
+        body: bytes,
+        pid: int,
     ) -> None:
         if response.will_close:
             self._close()
-        findings = self._world.ledger.finding
-        place = f"request {ask.id} ({ask.kind}) at {node.name}, pid {pid}"
+        add_finding = self._world.ledger.add_finding
+        context = f"request {request.id} ({request.kind}) at {node.name}, pid {pid}"
         if response.status < 300:
             seal = response.headers.get("X-Redwingscale-Response-Seal")
             echoed = response.headers.get("X-Redwingscale-Request-Id")
-            if ask.kind == "withdrawn" and self._in_force(node):
-                findings("withdrawn", f"{place}: answered for {ask.headers['Authorization']}")
-            if seal is None or echoed != ask.id:
-                findings("mixed", f"{place}: signature {seal}, id {echoed}")
-            if ask.kind == "stream":
-                self._check_events(ask, body, place)
-            elif body != ask.id.encode() + b":" + ask.body:
-                findings("mixed", f"{place}: {len(body)} bytes that are not its answer")
-        elif response.status == 404 and self._should_know(ask, node):
-            findings("configuration", f"{place}: 404 for {ask.path}")
-        elif response.status in (400, 401, 403) and ask.kind != "withdrawn":
-            findings("denied", f"{place}: {response.status}")
-        if response.status in _PROMISES and not response.headers.get("Retry-After"):
-            findings("refused", f"{place}: {response.status} without Retry-After")
-
-    def _check_events(self, ask: _Ask, body: bytes, place: str) -> None:
+            if request.kind == "withdrawn" and self._in_force(node):
+                add_finding(
+                    "withdrawn", f"{context}: answered for {request.headers['Authorization']}"
+                )
+            if seal is None or echoed != request.id:
+                add_finding("mixed", f"{context}: signature {seal}, id {echoed}")
+            if request.kind == "stream":
+                self._check_events(request, body, context)
+            elif body != request.id.encode() + b":" + request.body:
+                add_finding("mixed", f"{context}: {len(body)} bytes that are not its response")
+        elif response.status == 404 and self._must_have_route(request, node):
+            add_finding("configuration", f"{context}: 404 for {request.path}")
+        elif response.status in (400, 401, 403) and request.kind != "withdrawn":
+            add_finding("denied", f"{context}: {response.status}")
+        if response.status in _NOT_EXECUTED_STATUSES and not response.headers.get("Retry-After"):
+            add_finding("refused", f"{context}: {response.status} without Retry-After")
+
+    def _check_events(self, request: _Request, body: bytes, context: str) -> None:
         numbers = [int(line[4:]) for line in body.decode().splitlines() if line[:4] == "id: "]
-        expected = int(ask.headers["X-Redwingscale-Token-Usage"].partition(",")[2])
+        expected = int(request.headers["X-Redwingscale-Token-Usage"].partition(",")[2])
         if numbers != list(range(1, expected + 1)):
-            self._world.ledger.finding("order", f"{place}: {numbers} of {expected} events")
+            self._world.ledger.add_finding("order", f"{context}: {numbers} of {expected} events")
 
-    def _should_know(self, ask: _Ask, node: Node) -> bool:
-        if ask.kind != "newest":
+    def _must_have_route(self, request: _Request, node: Node) -> bool:
+        if request.kind != "newest":
             return True
-        return ask.path == f"/v{self._world.version}/x" and self._in_force(node)
+        return request.path == f"/v{self._world.version}/x" and self._in_force(node)
 
     def _in_force(self, node: Node) -> bool:
-        """Whether the newest version must be in force at an instance."""
+        """Return whether the newest version must be in force at ``node``."""
         now = time.monotonic()
         known_for = now - self._world.version_at
-        calm = now - max(node.disturbance.at, self._world.disturbance.at) > 2 * IN_FORCE_SECONDS
-        return calm and known_for > IN_FORCE_SECONDS
-
-    def _check_time(self, ask: _Ask, node: Node, seconds: float) -> None:
-        calm = time.monotonic() - node.disturbance.at > seconds + 1.0
-        if seconds > ask.limit_seconds + LATE_SECONDS and calm and not ask.leaves:
-            place = f"request {ask.id} ({ask.kind}) at {node.name}"
-            self._world.ledger.finding("time", f"{place}: {seconds:.2f} s")
+        undisturbed = (
+            now - max(node.disturbance.last_at, self._world.disturbance.last_at)
+            > 2 * IN_FORCE_SECONDS
+        )
+        return undisturbed and known_for > IN_FORCE_SECONDS
+
+    def _check_time(self, request: _Request, node: Node, seconds: float) -> None:
+        undisturbed = time.monotonic() - node.disturbance.last_at > seconds + 1.0
+        if (
+            seconds > request.limit_seconds + LATE_SECONDS
+            and undisturbed
+            and not request.disconnects
+        ):
+            context = f"request {request.id} ({request.kind}) at {node.name}"
+            self._world.ledger.add_finding("time", f"{context}: {seconds:.2f} s")
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/disturbance.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/disturbance.py
@@ -1,4 +1,4 @@
-"""Since when something has been left alone by overlapping faults."""
+"""Tracks when overlapping faults last disturbed a component."""
 
 import threading
 import time
@@ -7,7 +7,7 @@
 
 
 class Disturbance:
-    """Counts the faults that are under way."""
+    """Counts the faults in progress."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -15,13 +15,13 @@
         self._ended_at = float("-inf")
 
     @property
-    def at(self) -> float:
-        """The monotonic time of the last moment with a fault; now, while one lasts."""
+    def last_at(self) -> float:
+        """The monotonic time when the last fault ended, or now while a fault is in progress."""
         return time.monotonic() if self._faults else self._ended_at
 
     @contextmanager
     def during(self) -> Iterator[None]:
-        """Count a fault for as long as the block runs."""
+        """Count a fault while the block runs."""
         with self._lock:
             self._faults += 1
         try:
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/faults.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak, in series that overlap."""
+"""Injects the faults of a soak, which may overlap."""
 
 import os
 import signal
@@ -8,33 +8,33 @@
 
 from redwingscale_standins.hosted.waiting import until
 from redwingscale_standins.soak.faulty_link import FaultyLink
-from redwingscale_standins.soak.notices import reject, say_leaving
-from redwingscale_standins.soak.world import Limited, Node, Place, World
+from redwingscale_standins.soak.notices import announce_leaving, reject
+from redwingscale_standins.soak.world import Node, RateLimitPeriod, WorkerHost, World
 
-# Between the beginnings of two faults of a series.
+# Between the starts of two consecutive faults.
 SHORTEST_PAUSE_SECONDS = 0.2
 LONGEST_PAUSE_SECONDS = 1.5
 LONGEST_FAULT_SECONDS = 3.0
-# From the sign of leaving to the end of a worker's service; one that says nothing and
-# is only taken off the list may go on for longer.
+# From the announcement of leaving to the end of a worker's service. A worker that announces
+# nothing and is only removed from the list may serve for longer.
 LEAVING_SECONDS = 4.0
-UNSAID_LEAVING_SECONDS = 12.0
-# The order giver tells a change of the list for three seconds: who is cut off from the
-# store for longer has to find out by itself.
+UNANNOUNCED_LEAVING_SECONDS = 12.0
+# The leader announces a change of the list for three seconds: an instance that is cut off
+# from the store for longer has to detect the change by itself.
 SHORTEST_CUT_SECONDS = 4.0
 LONGEST_CUT_SECONDS = 8.0
-MOST_DOWN_PART = 0.5
-# All instances keep to a rate limit after three seconds.
+MAX_DOWN_FRACTION = 0.5
+# All instances follow a rate limit after three seconds.
 SHORTEST_LIMIT_SECONDS = 4.0
 LONGEST_LIMIT_SECONDS = 8.0
 RATE_LIMITS = (0.5, 1.0, 4.0)
-# What is held up on a link comes when it heals.
-CALM_SECONDS = 4.0
+# Bytes delayed on a link arrive when it heals.
+UNDISTURBED_SECONDS = 4.0
 LINK_FAULTS = ("delay", "hold_to", "hold_from", "refuse", "silence", "reset")
 
 
 class Faults:
-    """Draws faults from the world's seed; each runs in a thread of its own."""
+    """Draws faults from the world's seeded generator and runs each in its own thread."""
 
     def __init__(self, world: World, *, planned_only: bool) -> None:
         self._world = world
@@ -43,23 +43,23 @@
             self._stop_instance,
             self._reload,
             self._change_configuration,
-            self._worker_leaves,
-            self._worker_leaves_unsaid,
+            self._drain_worker,
+            self._remove_worker_unannounced,
             self._limit_worker,
-            self._worker_leaves_in_answers,
-            self._worker_rejects,
+            self._drain_worker_by_responses,
+            self._reject_requests,
         ]
         unplanned: list[Callable[[], None]] = [
             self._kill_instance,
             self._pause_instance,
-            self._store_link,
-            self._store_link,
+            self._disturb_store_link,
+            self._disturb_store_link,
             self._cut_from_store,
-            self._store_down,
-            self._worker_link,
-            self._worker_link,
-            self._worker_dies,
-            self._worker_fails,
+            self._fail_store,
+            self._disturb_worker_link,
+            self._disturb_worker_link,
+            self._crash_worker,
+            self._break_worker,
         ]
         self._menu = planned if planned_only else planned + unplanned
         self._threads: list[threading.Thread] = []
@@ -68,7 +68,7 @@
         self.log: list[str] = []
 
     def run(self, seconds: float) -> None:
-        """Begin faults for ``seconds``; return when all have ended."""
+        """Start faults for ``seconds``, then wait until all have ended."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self._random.choice(self._menu)()
@@ -77,7 +77,7 @@
         self.wait()
 
     def wait(self) -> None:
-        """Return when every fault that has begun has ended."""
+        """Wait until every started fault has ended."""
         for thread in self._threads:
             thread.join()
 
@@ -88,8 +88,8 @@
             try:
                 fault()
             except Exception as error:
-                # An instance that does not stop or start is a finding, not the soak's end.
-                self._world.ledger.finding("fault", f"{what}: {error!r}")
+                # An instance that fails to stop or start is a finding and must not end the soak.
+                self._world.ledger.add_finding("fault", f"{what}: {error!r}")
 
         thread = threading.Thread(target=guarded, name=what, daemon=True)
         thread.start()
@@ -99,16 +99,16 @@
         return self._random.uniform(0.3, LONGEST_FAULT_SECONDS)
 
     def _take_down(self) -> Node | None:
-        """Return an instance that may go down now, and count it as down."""
+        """Choose an instance that may go down now and mark it as down, or return None."""
         with self._lock:
             up = [node for node in self._world.nodes if node.name not in self._down]
-            if len(self._down) + 1 > len(self._world.nodes) * MOST_DOWN_PART or not up:
+            if len(self._down) + 1 > len(self._world.nodes) * MAX_DOWN_FRACTION or not up:
                 return None
             node = self._random.choice(up)
             self._down.add(node.name)
             return node
 
-    def _back(self, node: Node) -> None:
+    def _mark_up(self, node: Node) -> None:
         with self._lock:
             self._down.discard(node.name)
 
@@ -123,7 +123,7 @@
         node.stopping = True
         if node.process.process.wait(20.0) != 0:
             code = node.process.process.returncode
-            self._world.ledger.finding("stop", f"{node.name} ended with {code}")
+            self._world.ledger.add_finding("stop", f"{node.name} ended with {code}")
         self._restart(node)
 
     def _kill_instance(self) -> None:
@@ -143,7 +143,7 @@
             node.process.start()
             node.until_ready()
         node.stopping = False
-        self._back(node)
+        self._mark_up(node)
 
     def _pause_instance(self) -> None:
         node, seconds = self._take_down(), self._duration()
@@ -156,7 +156,7 @@
             os.kill(pid, signal.SIGSTOP)
             time.sleep(seconds)
             os.kill(pid, signal.SIGCONT)
-        self._back(node)
+        self._mark_up(node)
 
     def _reload(self) -> None:
         node = self._random.choice(self._world.nodes)
@@ -168,15 +168,15 @@
     def _change_configuration(self) -> None:
         self._begin("configuration", self._world.change_configuration)
 
-    def _store_link(self) -> None:
+    def _disturb_store_link(self) -> None:
         node, seconds = self._random.choice(self._world.nodes), self._duration()
-        how = self._random.choice(LINK_FAULTS)
+        kind = self._random.choice(LINK_FAULTS)
 
         def fault() -> None:
             with node.disturbance.during():
-                self._harm(node.store_link, how, seconds)
+                self._apply_link_fault(node.store_link, kind, seconds)
 
-        self._begin(f"store link of {node.name}: {how} {seconds:.2f}", fault)
+        self._begin(f"store link of {node.name}: {kind} {seconds:.2f}", fault)
 
     def _cut_from_store(self) -> None:
         node = self._random.choice(self._world.nodes)
@@ -184,12 +184,12 @@
 
         def fault() -> None:
             with node.disturbance.during():
-                self._harm(node.store_link, "refuse", seconds)
+                self._apply_link_fault(node.store_link, "refuse", seconds)
 
         self._begin(f"{node.name} is cut off from the store {seconds:.2f}", fault)
 
-    def _harm(self, link: FaultyLink, how: str, seconds: float) -> None:
-        match how:
+    def _apply_link_fault(self, link: FaultyLink, kind: str, seconds: float) -> None:
+        match kind:
             case "silence":
                 link.silence()
                 return
@@ -208,7 +208,7 @@
         time.sleep(seconds)
         link.heal()
 
-    def _store_down(self) -> None:
+    def _fail_store(self) -> None:
         seconds = self._duration()
 
         def fault() -> None:
@@ -219,101 +219,107 @@
 
         self._begin(f"store down {seconds:.2f}", fault)
 
-    def _place(self) -> Place:
-        return self._random.choice([*self._world.places.values()])
+    def _choose_worker(self) -> WorkerHost:
+        return self._random.choice([*self._world.worker_hosts.values()])
 
-    def _worker_link(self) -> None:
-        place, seconds = self._place(), self._duration()
-        how = self._random.choice(LINK_FAULTS)
+    def _disturb_worker_link(self) -> None:
+        host, seconds = self._choose_worker(), self._duration()
+        kind = self._random.choice(LINK_FAULTS)
 
         def fault() -> None:
             with self._world.disturbance.during():
-                self._harm(place.link, how, seconds)
+                self._apply_link_fault(host.link, kind, seconds)
 
-        self._begin(f"link of {place.worker.id}: {how} {seconds:.2f}", fault)
+        self._begin(f"link of {host.worker.id}: {kind} {seconds:.2f}", fault)
 
-    def _worker_fails(self) -> None:
-        place, seconds = self._place(), self._duration()
+    def _break_worker(self) -> None:
+        host, seconds = self._choose_worker(), self._duration()
         what = self._random.choice(["failing", "losing"])
 
         def fault() -> None:
             with self._world.disturbance.during():
-                setattr(place.worker, what, True)
+                setattr(host.worker, what, True)
                 time.sleep(seconds)
-                setattr(place.worker, what, False)
+                setattr(host.worker, what, False)
 
-        self._begin(f"{place.worker.id} {what} {seconds:.2f}", fault)
+        self._begin(f"{host.worker.id} {what} {seconds:.2f}", fault)
 
     def _limit_worker(self) -> None:
-        place = self._place()
-        if place.worker.rate_limit is not None:
+        host = self._choose_worker()
+        if host.worker.rate_limit is not None:
             return
         seconds = self._random.uniform(SHORTEST_LIMIT_SECONDS, LONGEST_LIMIT_SECONDS)
         rate = self._random.choice(RATE_LIMITS)
 
         def fault() -> None:
-            named_at = time.monotonic()
-            place.worker.rate_limit = rate
+            begun_at = time.monotonic()
+            host.worker.rate_limit = rate
             time.sleep(seconds)
-            place.worker.rate_limit = None
-            calm = self._world.disturbance.at < named_at - CALM_SECONDS
-            limited = Limited(place.worker, rate, named_at, time.monotonic(), calm)
-            self._world.limited.append(limited)
+            host.worker.rate_limit = None
+            undisturbed = self._world.disturbance.last_at < begun_at - UNDISTURBED_SECONDS
+            period = RateLimitPeriod(host.worker, rate, begun_at, time.monotonic(), undisturbed)
+            self._world.rate_limit_periods.append(period)
 
-        place.worker.rate_limit = rate
-        self._begin(f"{place.worker.id} takes {rate} a second {seconds:.2f}", fault)
+        host.worker.rate_limit = rate
+        self._begin(f"{host.worker.id} takes {rate} a second {seconds:.2f}", fault)
 
-    def _worker_dies(self) -> None:
-        place = self._place()
-        if not self._replaceable(place):
+    def _crash_worker(self) -> None:
+        host = self._choose_worker()
+        if not self._replaceable(host):
             return
 
         def fault() -> None:
             with self._world.disturbance.during():
-                self._world.drop(place)
-                self._world.add_worker(place.service, set())
+                self._world.drop(host)
+                self._world.add_worker(host.service, set())
 
-        self._begin(f"{place.worker.id} dies", fault)
+        self._begin(f"{host.worker.id} dies", fault)
 
-    def _worker_leaves(self) -> None:
-        self._leave("leaves", LEAVING_SECONDS, lambda place: self._world.list(place, "draining"))
+    def _drain_worker(self) -> None:
+        self._replace_worker(
+            "leaves", LEAVING_SECONDS, lambda host: self._world.list(host, "draining")
+        )
 
-    def _worker_leaves_in_answers(self) -> None:
-        def begin(place: Place) -> None:
-            say_leaving(self._world, place, self._random)
-            self._world.list(place, "draining")
+    def _drain_worker_by_responses(self) -> None:
+        def begin(host: WorkerHost) -> None:
+            announce_leaving(self._world, host, self._random)
+            self._world.list(host, "draining")
 
-        self._leave("leaves and first says so in its answers", LEAVING_SECONDS, begin)
+        self._replace_worker("leaves and first says so in its answers", LEAVING_SECONDS, begin)
 
-    def _worker_rejects(self) -> None:
-        place = self._place()
-        if place.worker.retry_after is None:
+    def _reject_requests(self) -> None:
+        host = self._choose_worker()
+        if host.worker.retry_after is None:
             self._begin(
-                f"{place.worker.id} rejects", lambda: reject(self._world, place, self._random)
+                f"{host.worker.id} rejects", lambda: reject(self._world, host, self._random)
             )
 
-    def _worker_leaves_unsaid(self) -> None:
-        self._leave("leaves and doesn't say so", UNSAID_LEAVING_SECONDS, self._world.unlist)
-
-    def _leave(self, how: str, seconds: float, begin: Callable[[Place], None]) -> None:
-        """Replace a worker that serves on for ``seconds`` after ``begin``."""
-        place = self._place()
-        if not self._replaceable(place):
+    def _remove_worker_unannounced(self) -> None:
+        self._replace_worker(
+            "leaves and doesn't say so", UNANNOUNCED_LEAVING_SECONDS, self._world.unlist
+        )
+
+    def _replace_worker(
+        self, kind: str, seconds: float, begin: Callable[[WorkerHost], None]
+    ) -> None:
+        """Replace a worker, which continues to serve for ``seconds`` after ``begin``."""
+        host = self._choose_worker()
+        if not self._replaceable(host):
             return
-        models = set(place.worker.models)
+        models = set(host.worker.models)
 
         def fault() -> None:
-            self._world.add_worker(place.service, models)
-            begin(place)
-            place.left_at = time.monotonic()
+            self._world.add_worker(host.service, models)
+            begin(host)
+            host.left_at = time.monotonic()
             time.sleep(seconds)
-            self._world.drop(place)
+            self._world.drop(host)
 
-        self._begin(f"{place.worker.id} {how}", fault)
+        self._begin(f"{host.worker.id} {kind}", fault)
 
-    def _replaceable(self, place: Place) -> bool:
-        """Return whether ``place`` may be replaced, which it is only once."""
+    def _replaceable(self, host: WorkerHost) -> bool:
+        """Return whether ``host`` was not replaced yet, and mark it as replaced."""
         with self._lock:
-            first = not place.replaced
-            place.replaced = True
+            first = not host.replaced
+            host.replaced = True
             return first
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/faulty_link.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/faulty_link.py
@@ -1,4 +1,4 @@
-"""A TCP relay on loopback that delays, holds, resets or swallows what passes it."""
+"""A TCP relay on loopback that delays, holds, resets or discards traffic."""
 
 import socket
 import struct
@@ -9,17 +9,17 @@
 from redwingscale_common.utils.logs import log_event
 
 CHUNK_BYTES = 65536
-HOLD_LOOK_SECONDS = 0.02
-# Closing with this set sends a reset in place of an end.
+HOLD_POLL_SECONDS = 0.02
+# SO_LINGER with a timeout of zero: closing sends a reset instead of a FIN.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class FaultyLink:
     """Forwards connections to ``target_port``; each fault lasts until `heal`.
 
-    ``hold_to`` and ``hold_from`` keep the bytes of one direction back and deliver
-    them at the end, as a network does that drops packets which are sent again.
-    `silence` swallows for good what passes connections that are open now.
+    ``hold_to`` and ``hold_from`` hold the bytes of one direction and deliver them when
+    the fault ends, like a network that drops packets which are retransmitted later.
+    `silence` discards all further traffic of the connections that are open now.
     """
 
     def __init__(self, target_port: int) -> None:
@@ -37,23 +37,23 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def heal(self) -> None:
-        """End every fault; what was swallowed stays so."""
+        """End every fault; silenced connections stay silent."""
         self.delay_seconds = 0.0
         self.hold_to = self.hold_from = self.refuse = False
 
     def silence(self) -> None:
-        """Swallow what passes the connections that are open now, for good."""
+        """Discard all further traffic of the connections that are open now."""
         self._generation += 1
 
     def reset(self) -> None:
         """Reset the connections that are open now."""
         with self._lock:
-            ends, self._open = self._open, set()
-        for end in ends:
+            sockets, self._open = self._open, set()
+        for end in sockets:
             _reset(end)
 
     def close(self) -> None:
-        """Take no more connections and reset the open ones."""
+        """Stop accepting connections and reset the open ones."""
         self._closed = True
         self._listener.close()
         self.reset()
@@ -61,83 +61,83 @@
     def _accept(self) -> None:
         while not self._closed:
             try:
-                near, _ = self._listener.accept()
+                client, _ = self._listener.accept()
             except OSError:
                 return
             try:
                 if self.refuse:
                     raise ConnectionRefusedError
-                far = socket.create_connection(("127.0.0.1", self.target_port), timeout=5.0)
+                server = socket.create_connection(("127.0.0.1", self.target_port), timeout=5.0)
             except OSError:
-                _reset(near)
+                _reset(client)
                 continue
-            far.settimeout(None)
+            server.settimeout(None)
             with self._lock:
-                self._open |= {near, far}
+                self._open |= {client, server}
             try:
-                self._pump_both(near, far)
+                self._pump_both(client, server)
             except RuntimeError as error:
-                # No room for one more thread: this connection is lost, not the link.
+                # The machine can't start another thread: this connection is lost, not the link.
                 log_event("link_without_thread", level="ERROR", port=self.port, error=error)
-                _reset(near)
-                _reset(far)
+                _reset(client)
+                _reset(server)
 
-    def _pump_both(self, near: socket.socket, far: socket.socket) -> None:
+    def _pump_both(self, client: socket.socket, server: socket.socket) -> None:
         generation = self._generation
-        for source, sink, held in (
-            (near, far, lambda: self.hold_to),
-            (far, near, lambda: self.hold_from),
+        for source, sink, is_held in (
+            (client, server, lambda: self.hold_to),
+            (server, client, lambda: self.hold_from),
         ):
             threading.Thread(
-                target=self._pump, args=(source, sink, held, generation), daemon=True
+                target=self._pump, args=(source, sink, is_held, generation), daemon=True
             ).start()
 
     def _pump(
         self,
         source: socket.socket,
         sink: socket.socket,
-        held: Callable[[], bool],
+        is_held: Callable[[], bool],
         generation: int,
     ) -> None:
         try:
             while data := source.recv(CHUNK_BYTES):
-                if self._wait(held):
+                if self._wait(is_held):
                     _raise_if_reset(source)
                 if generation == self._generation:
                     sink.sendall(data)
-            self._wait(held)
+            self._wait(is_held)
             if generation == self._generation:
                 sink.shutdown(socket.SHUT_WR)
         except OSError:
-            # One end was reset: so is the other.
+            # One end was reset, so reset the other too.
             with self._lock:
                 self._open -= {source, sink}
             _reset(source)
             _reset(sink)
 
-    def _wait(self, held: Callable[[], bool]) -> bool:
-        """Wait as the faults tell; return whether bytes were held up."""
+    def _wait(self, is_held: Callable[[], bool]) -> bool:
+        """Wait as the current faults require; return whether bytes were held."""
         if self.delay_seconds:
             time.sleep(self.delay_seconds)
-        was_held = held()
-        while held() and not self._closed:
-            time.sleep(HOLD_LOOK_SECONDS)
+        was_held = is_held()
+        while is_held() and not self._closed:
+            time.sleep(HOLD_POLL_SECONDS)
         return was_held
 
 
 def _raise_if_reset(source: socket.socket) -> None:
-    # Bytes that are held up are in the sender's buffer: a reset there drops them. Here
-    # some may have been read and others not, so the socket's error tells it.
+    # A reset by the sender drops held bytes, since on a real network they are still in its
+    # buffer. Here some may have been read already, so the socket's error is checked.
     if source.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-        raise ConnectionResetError("reset while its bytes were held up")
+        raise ConnectionResetError("reset while its bytes were held")
 
 
 def _reset(end: socket.socket) -> None:
     try:
         end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
-        # A shutdown wakes the thread that reads it; a close alone does not.
+        # A shutdown wakes the thread that reads the socket; a close alone does not.
         end.shutdown(socket.SHUT_RDWR)
     except OSError:
-        # It was closed by its peer: nothing is left to reset.
+        # The peer closed the connection, so there is nothing to reset.
         pass
     end.close()
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/ledger.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What workers ran and what callers were told, for the checks at the end."""
+"""Records what workers ran and what callers received, for the checks at the end."""
 
 import threading
 import time
@@ -7,7 +7,7 @@
 
 
 class Run(NamedTuple):
-    """A worker began a request; ``first_event`` is where its stream began."""
+    """The start of a request at a worker."""
 
     worker: str
     path: str
@@ -16,7 +16,7 @@
 
 
 class Order(NamedTuple):
-    """An order that a worker took."""
+    """An order that a worker accepted."""
 
     worker: str
     holder: str
@@ -24,11 +24,11 @@
     at: float
 
 
-class Told(NamedTuple):
-    """A caller's view of one request; ``status`` is None for a connection that ended.
+class RequestResult(NamedTuple):
+    """The result of one request for its caller; ``status`` is None if the connection ended.
 
-    Nothing has disturbed its instance, or the store, since ``calm_since``. ``process`` is
-    the id of the instance's process that took it.
+    No fault has disturbed the instance or the store since ``undisturbed_since``.
+    ``process`` is the process id of the instance that received the request.
     """
 
     request: str
@@ -39,39 +39,39 @@
     status: int | None
     sent_at: float
     ended_at: float
-    left: bool
-    calm_since: float
+    disconnected: bool
+    undisturbed_since: float
     process: int
 
 
 class Ledger:
-    """Collects from all threads; ``findings`` are broken promises with their place."""
+    """Collects records of all threads; ``findings`` lists broken promises with their context."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self.runs: dict[str, list[Run]] = defaultdict(list)
         self.orders: dict[str, list[Order]] = defaultdict(list)
-        self.told: list[Told] = []
+        self.results: list[RequestResult] = []
         self.findings: list[str] = []
-        # Requests that the soak itself asks for, beside the callers.
+        # Requests that the soak itself sends, in addition to the callers.
         self.probes: set[str] = set()
 
-    def ran(self, request: str, worker: str, path: str, body: bytes) -> None:
-        """Note that ``worker`` begins ``request``."""
+    def begin_run(self, request: str, worker: str, path: str, body: bytes) -> None:
+        """Record that ``worker`` begins ``request``."""
         with self._lock:
             self.runs[request].append(Run(worker, path, body, time.monotonic()))
 
-    def ordered(self, worker: str, holder: str, fence: int) -> None:
-        """Note an order that a worker took."""
+    def add_order(self, worker: str, holder: str, fence: int) -> None:
+        """Record an order that a worker accepted."""
         with self._lock:
             self.orders[worker].append(Order(worker, holder, fence, time.monotonic()))
 
-    def ended(self, told: Told) -> None:
-        """Note how a request ended for its caller."""
+    def add_result(self, result: RequestResult) -> None:
+        """Record the result of a request for its caller."""
         with self._lock:
-            self.told.append(told)
+            self.results.append(result)
 
-    def finding(self, rule: str, detail: str) -> None:
-        """Note a broken promise."""
+    def add_finding(self, rule: str, detail: str) -> None:
+        """Record a broken promise."""
         with self._lock:
             self.findings.append(f"{rule}: {detail}")
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/notices.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/notices.py
@@ -1,97 +1,99 @@
-"""Workers that say in their answers that they leave, or when they may be asked again."""
+"""Workers that announce in their responses that they are leaving, or when to retry."""
 
 import random
 import time
 from collections import defaultdict
 from collections.abc import Iterator
 
-from redwingscale_standins.soak.ledger import Told
-from redwingscale_standins.soak.world import Noticed, Place, World
+from redwingscale_standins.soak.ledger import RequestResult
+from redwingscale_standins.soak.world import BackpressurePeriod, WorkerHost, World
 
-# From the first answer that says so until the list does.
+# From the first response that announces leaving until the list does.
 SHORTEST_UNLISTED_SECONDS = 4.0
 LONGEST_UNLISTED_SECONDS = 7.0
 SHORTEST_REJECTING_SECONDS = 3.0
 LONGEST_REJECTING_SECONDS = 8.0
 RETRY_SECONDS = (0.8, 1.5, 3.0)
-# What is held up on a link comes when it heals.
-CALM_SECONDS = 4.0
-# An instance stops within two seconds of an answer; the rest is for a busy machine.
+# Bytes delayed on a link arrive when it heals.
+UNDISTURBED_SECONDS = 4.0
+# An instance stops sending within two seconds of a response; the rest allows for a busy machine.
 LEAVING_SECONDS = 3.0
-# What was sent before the rejection may arrive for half a second.
+# Requests sent before the rejection may arrive for half a second.
 SENT_BEFORE_SECONDS = 0.5
-MOST_BEFORE_RETRY = 2
+MAX_BEFORE_RETRY = 2
 
 
-def say_leaving(world: World, place: Place, drawn: random.Random) -> None:
-    """Let a worker say in its answers alone that it leaves, for some seconds."""
+def announce_leaving(world: World, host: WorkerHost, rng: random.Random) -> None:
+    """Make a worker announce only in its responses, for some seconds, that it is leaving."""
     begun_at = time.monotonic()
-    place.worker.leaving = True
-    time.sleep(drawn.uniform(SHORTEST_UNLISTED_SECONDS, LONGEST_UNLISTED_SECONDS))
-    _note(world, place, begun_at, None)
+    host.worker.leaving = True
+    time.sleep(rng.uniform(SHORTEST_UNLISTED_SECONDS, LONGEST_UNLISTED_SECONDS))
+    _add_period(world, host, begun_at, None)
 
 
-def reject(world: World, place: Place, drawn: random.Random) -> None:
-    """Let a worker reject what it gets, for some seconds."""
+def reject(world: World, host: WorkerHost, rng: random.Random) -> None:
+    """Make a worker reject its requests for some seconds."""
     begun_at = time.monotonic()
-    retry_seconds = drawn.choice(RETRY_SECONDS)
-    place.worker.retry_after = retry_seconds
-    time.sleep(drawn.uniform(SHORTEST_REJECTING_SECONDS, LONGEST_REJECTING_SECONDS))
-    place.worker.retry_after = None
-    _note(world, place, begun_at, retry_seconds)
+    retry_seconds = rng.choice(RETRY_SECONDS)
+    host.worker.retry_after = retry_seconds
+    time.sleep(rng.uniform(SHORTEST_REJECTING_SECONDS, LONGEST_REJECTING_SECONDS))
+    host.worker.retry_after = None
+    _add_period(world, host, begun_at, retry_seconds)
 
 
-def _note(world: World, place: Place, begun_at: float, retry_seconds: float | None) -> None:
-    calm = world.disturbance.at < begun_at - CALM_SECONDS
-    noticed = Noticed(place.worker, begun_at, time.monotonic(), calm, retry_seconds)
-    world.noticed.append(noticed)
+def _add_period(
+    world: World, host: WorkerHost, begun_at: float, retry_seconds: float | None
+) -> None:
+    undisturbed = world.disturbance.last_at < begun_at - UNDISTURBED_SECONDS
+    period = BackpressurePeriod(host.worker, begun_at, time.monotonic(), undisturbed, retry_seconds)
+    world.backpressure_periods.append(period)
 
 
-def check_notices(world: World) -> None:
-    """Add a finding for requests that an instance sent against an answer that it had passed on."""
-    told_by_request = {told.request: told for told in world.ledger.told}
-    for noticed in world.noticed:
-        if not noticed.calm:
+def check_backpressure(world: World) -> None:
+    """Add a finding for requests that an instance sent despite earlier backpressure."""
+    result_by_request = {result.request: result for result in world.ledger.results}
+    for period in world.backpressure_periods:
+        if not period.undisturbed:
             continue
-        found = _after_leaving if noticed.retry_seconds is None else _before_retry
-        for detail in found(world, noticed, told_by_request):
-            world.ledger.finding("notices", f"{noticed.worker.id} {detail}")
+        find_violations = _after_leaving if period.retry_seconds is None else _before_retry
+        for detail in find_violations(world, period, result_by_request):
+            world.ledger.add_finding("notices", f"{period.worker.id} {detail}")
 
 
 def _after_leaving(
-    world: World, noticed: Noticed, told_by_request: dict[str, Told]
+    world: World, period: BackpressurePeriod, result_by_request: dict[str, RequestResult]
 ) -> Iterator[str]:
     runs = sorted(
-        (run.at, told)
+        (run.at, result)
         for request, runs in world.ledger.runs.items()
         for run in runs
-        if run.worker == noticed.worker.id and (told := told_by_request.get(request))
+        if run.worker == period.worker.id and (result := result_by_request.get(request))
     )
     passed_on_at: dict[int, float] = {}
-    for at, told in runs:
-        if at > noticed.begun_at and told.status is not None:
-            known = passed_on_at.get(told.process, float("inf"))
-            passed_on_at[told.process] = min(known, told.ended_at)
-    for at, told in runs:
-        late = at - passed_on_at.get(told.process, float("inf"))
+    for at, result in runs:
+        if at > period.begun_at and result.status is not None:
+            earliest = passed_on_at.get(result.process, float("inf"))
+            passed_on_at[result.process] = min(earliest, result.ended_at)
+    for at, result in runs:
+        late = at - passed_on_at.get(result.process, float("inf"))
         if late > LEAVING_SECONDS:
-            yield f"began {told.request} {late:.2f} s after {told.instance} knew that it leaves"
+            yield f"began {result.request} {late:.2f} s after {result.instance} saw it leaving"
 
 
 def _before_retry(
-    world: World, noticed: Noticed, told_by_request: dict[str, Told]
+    world: World, period: BackpressurePeriod, result_by_request: dict[str, RequestResult]
 ) -> Iterator[str]:
     arrived_at: dict[int, list[float]] = defaultdict(list)
     rejected = [
-        (one.at, told)
-        for one in noticed.worker.rejections
-        if noticed.begun_at <= one.at <= noticed.ended_at
-        and (told := told_by_request.get(one.request))
+        (rejection.at, result)
+        for rejection in period.worker.rejections
+        if period.begun_at <= rejection.at <= period.ended_at
+        and (result := result_by_request.get(rejection.request))
     ]
-    for at, told in rejected:
-        arrived_at[told.process].append(at)
-    for at, told in rejected:
-        first, last = at + SENT_BEFORE_SECONDS, at + (noticed.retry_seconds or 0.0)
-        count = sum(first < other < last for other in arrived_at[told.process])
-        if count > MOST_BEFORE_RETRY:
-            yield f"rejected {told.instance} for {noticed.retry_seconds} s and got {count} requests"
+    for at, result in rejected:
+        arrived_at[result.process].append(at)
+    for at, result in rejected:
+        first, last = at + SENT_BEFORE_SECONDS, at + (period.retry_seconds or 0.0)
+        count = sum(first < other < last for other in arrived_at[result.process])
+        if count > MAX_BEFORE_RETRY:
+            yield f"rejected {result.instance} for {period.retry_seconds} s and got {count} calls"
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/soak.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/soak.py
@@ -1,4 +1,4 @@
-"""One seed: a world, callers, faults, recovery, checks."""
+"""Runs one seed: starts a world and callers, injects faults, and checks recovery and results."""
 
 import contextlib
 import threading
@@ -19,21 +19,21 @@
     check_requests,
 )
 from redwingscale_standins.soak.faults import Faults
-from redwingscale_standins.soak.notices import check_notices
-from redwingscale_standins.soak.world import STEADY_KEY, Place, World
+from redwingscale_standins.soak.notices import check_backpressure
+from redwingscale_standins.soak.world import STEADY_KEY, WorkerHost, World
 
 CALLERS_EACH = 4
 HEARTBEAT_SECONDS = 0.4
-# Of the seeds, one in this many plays planned work only: nothing may be cut then.
+# One seed in this many has planned work only, in which no request may be cut.
 PLANNED_EVERY = 4
-# After the last fault everything is served again within this.
+# Every instance serves every model within this time after the last fault.
 RECOVERY_SECONDS = 30.0
-# The instances' setting; half of it allows for the ways that orders take.
-ORDER_QUIET_SECONDS = 0.3
+# The instances' setting. Checks use half of it, to allow for the transit time of orders.
+HANDOVER_PAUSE_SECONDS = 0.3
 
 
 class Outcome(NamedTuple):
-    """What a seed showed; ``findings`` are empty for a sound run."""
+    """The outcome of a seed; ``findings`` is empty for a valid run."""
 
     seed: int
     requests: int
@@ -43,14 +43,16 @@
 
 
 def play(seed: int, seconds: float, instances: int, directory: Path) -> Outcome:
-    """Run one seed and return its outcome; the logs stay in ``directory``."""
+    """Run one seed and return its outcome; logs are kept in ``directory``."""
     planned_only = seed % PLANNED_EVERY == 0
     world = World(directory, instances, seed)
     callers = [Caller(world, number, seed) for number in range(instances * CALLERS_EACH)]
     faults = Faults(world, planned_only=planned_only)
     ended = threading.Event()
-    places = _Places(world)
-    heartbeats = threading.Thread(target=_beat, args=(world, places, ended), daemon=True)
+    history = _WorkerHistory(world)
+    heartbeats = threading.Thread(
+        target=_write_heartbeats, args=(world, history, ended), daemon=True
+    )
     try:
         heartbeats.start()
         for caller in callers:
@@ -63,46 +65,46 @@
         _check_recovery(world)
         check_requests(world)
         check_cuts(world, planned_only=planned_only)
-        check_orders(world, ORDER_QUIET_SECONDS / 2)
+        check_orders(world, HANDOVER_PAUSE_SECONDS / 2)
         check_limit(world)
         check_rate_limits(world)
-        check_notices(world)
-        check_leaving(world, places.left(), planned_only=planned_only)
+        check_backpressure(world)
+        check_leaving(world, history.leaving(), planned_only=planned_only)
     finally:
         for caller in callers:
             caller.stopped = True
         ended.set()
-        # A fault under way would start an instance again after the end of all.
+        # A fault in progress would restart an instance after the cleanup.
         faults.wait()
         world.stop()
         (directory / "faults.log").write_text("\n".join(faults.log) + "\n")
-    told = world.ledger.told
-    answered = sum(one.status is not None and one.status < 300 for one in told)
-    return Outcome(seed, len(told), answered, len(faults.log), world.ledger.findings)
+    results = world.ledger.results
+    answered = sum(result.status is not None and result.status < 300 for result in results)
+    return Outcome(seed, len(results), answered, len(faults.log), world.ledger.findings)
 
 
-class _Places:
-    """All workers that there ever were."""
+class _WorkerHistory:
+    """Remembers every worker that was listed during the run."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self._seen: dict[str, Place] = {}
+        self._seen: dict[str, WorkerHost] = {}
 
-    def look(self) -> None:
-        self._seen.update(self._world.places)
+    def record(self) -> None:
+        self._seen.update(self._world.worker_hosts)
 
-    def left(self) -> list[Place]:
-        return [place for place in self._seen.values() if place.left_at < float("inf")]
+    def leaving(self) -> list[WorkerHost]:
+        return [host for host in self._seen.values() if host.left_at < float("inf")]
 
 
-def _beat(world: World, places: _Places, ended: threading.Event) -> None:
+def _write_heartbeats(world: World, history: _WorkerHistory, ended: threading.Event) -> None:
     while not ended.wait(HEARTBEAT_SECONDS):
-        places.look()
+        history.record()
         world.heartbeat()
 
 
 def _check_recovery(world: World) -> None:
-    """Add a finding unless each instance serves each model again."""
+    """Add a finding for each instance and model that is not served again in time."""
     wanted = [(node, str(model["Name"])) for node in world.nodes for model in MODELS]
     end = time.monotonic() + RECOVERY_SECONDS
     number = 0
@@ -117,4 +119,4 @@
         wanted.append((node, model))
         time.sleep(0.1)
     for node, model in wanted:
-        world.ledger.finding("recovery", f"{node.name} does not serve {model}")
+        world.ledger.add_finding("recovery", f"{node.name} does not serve {model}")
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/world.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/world.py
@@ -1,4 +1,4 @@
-"""The deployment under soak: a store, workers behind faulty links, instances."""
+"""The deployment under test: a store, workers behind faulty links, and instances."""
 
 import random
 import threading
@@ -20,15 +20,15 @@
 MODEL_SERVICE, PLAIN_SERVICE = "llm", "plain"
 MODEL_WORKERS, PLAIN_WORKERS = 3, 2
 PLAIN_LIMIT_SECONDS = 4.0
-# Known to each version, and of a workspace without a limit.
+# Valid in every version, for a workspace without a limit.
 STEADY_KEY = "steady-key"
 LIMITED_KEY = "limited-key"
-# Requests a second, and at once, that the limited workspace may send.
-MOST_PER_SECOND, MOST_AT_ONCE = 10, 10
+# Rate in requests a second, and burst, of the limited workspace.
+MAX_PER_SECOND, MAX_BURST = 10, 10
 _SERVER_THREADS = 48
 
 
-class Place:
+class WorkerHost:
     """A worker with the server and the link in front of it."""
 
     def __init__(self, worker: SoakWorker, service: str) -> None:
@@ -36,9 +36,9 @@
         self.service = service
         self.state = "ready"
         self.replaced = False
-        # When the list has said that it leaves.
+        # When the list announced that the worker is leaving.
         self.left_at = float("inf")
-        # An entry that is taken off isn't written again by a heartbeat.
+        # False once the row is removed, so that a heartbeat does not write it again.
         self.listed = True
         limits = ServerLimits(threads=_SERVER_THREADS)
         self.server = HttpServer(worker, "127.0.0.1", 0, limits)
@@ -61,32 +61,32 @@
         }
 
 
-class Limited(NamedTuple):
-    """A worker that advertised a rate limit; ``calm`` where nothing unplanned held up what it got."""
+class RateLimitPeriod(NamedTuple):
+    """A period with a rate limit; ``undisturbed`` if no unplanned fault delayed calls."""
 
     worker: SoakWorker
     per_second: float
-    named_at: float
+    begun_at: float
     ended_at: float
-    calm: bool
+    undisturbed: bool
 
 
-class Noticed(NamedTuple):
-    """A time in which a worker's answers said something of it.
+class BackpressurePeriod(NamedTuple):
+    """A period in which a worker announced backpressure in its responses.
 
-    ``calm`` where nothing unplanned held up what it got. It rejects where it names
-    ``retry_seconds``, else it leaves.
+    ``undisturbed`` is true if no unplanned fault delayed its calls. The worker rejected
+    requests if ``retry_seconds`` is set, else it was leaving.
     """
 
     worker: SoakWorker
     begun_at: float
     ended_at: float
-    calm: bool
+    undisturbed: bool
     retry_seconds: float | None = None
 
 
 class Node:
-    """An instance, its link to the store, and whether it is disturbed."""
+    """An instance, its link to the store, and its disturbance."""
 
     def __init__(self, name: str, store_port: int, directory: Path) -> None:
         self.store_link = FaultyLink(store_port)
@@ -109,10 +109,10 @@
         self._directory = directory
         self._numbers = iter(range(1000))
         self.rows = RowsApi()
-        self.places: dict[str, Place] = {}
-        self.limited: list[Limited] = []
-        self.noticed: list[Noticed] = []
-        # Anything unplanned, and the whole store.
+        self.worker_hosts: dict[str, WorkerHost] = {}
+        self.rate_limit_periods: list[RateLimitPeriod] = []
+        self.backpressure_periods: list[BackpressurePeriod] = []
+        # Unplanned faults of any kind, and faults of the whole store.
         self.disturbance = Disturbance()
         self.store_disturbance = Disturbance()
         self._listing = threading.Lock()
@@ -122,15 +122,15 @@
         self._store.start()
         self.change_configuration()
         models = [{"m1", "m2"}, {"m3", "m1"}, {"m4"}]
-        for held in models[:MODEL_WORKERS]:
-            self.add_worker(MODEL_SERVICE, held)
+        for resident in models[:MODEL_WORKERS]:
+            self.add_worker(MODEL_SERVICE, resident)
         for _ in range(PLAIN_WORKERS):
             self.add_worker(PLAIN_SERVICE, set())
         self.nodes: list[Node] = []
         try:
             self._start_nodes(instances)
         except BaseException:
-            # What has started must not be left behind.
+            # Processes that have started must not outlive the failed set-up.
             self.stop()
             raise
 
@@ -140,71 +140,71 @@
         for node in self.nodes:
             node.until_ready()
 
-    def add_worker(self, service: str, models: set[str]) -> Place:
+    def add_worker(self, service: str, models: set[str]) -> WorkerHost:
         """Start a worker and list it."""
         worker = SoakWorker(f"w{next(self._numbers)}", models, self.ledger)
-        place = self.places[worker.id] = Place(worker, service)
-        self.list(place, "ready")
-        return place
+        host = self.worker_hosts[worker.id] = WorkerHost(worker, service)
+        self.list(host, "ready")
+        return host
 
-    def list(self, place: Place, state: str) -> None:
-        """Write the worker's row, unless it was taken off."""
+    def list(self, host: WorkerHost, state: str) -> None:
+        """Write the worker's row, unless it was removed from the list."""
         with self._listing:
-            if place.listed:
-                place.state = state
-                self.rows.put("servers", place.worker.id, place.entry())
+            if host.listed:
+                host.state = state
+                self.rows.put("servers", host.worker.id, host.entry())
 
-    def unlist(self, place: Place) -> None:
-        """Take the worker's row off for good; it goes on serving."""
+    def unlist(self, host: WorkerHost) -> None:
+        """Remove the worker's row permanently; the worker continues to serve."""
         with self._listing:
-            place.listed = False
-            self.rows.remove("servers", place.worker.id)
+            host.listed = False
+            self.rows.remove("servers", host.worker.id)
 
     def heartbeat(self) -> None:
-        """Write every worker's row anew, with what it holds now."""
-        for place in list(self.places.values()):
-            self.list(place, place.state)
-
-    def drop(self, place: Place) -> None:
-        """End a worker at once, and its row after it."""
-        place.worker.dead = True
-        place.link.close()
-        self.places.pop(place.worker.id, None)
-        self.unlist(place)
-        place.server.stop()
+        """Rewrite every worker's row with its currently resident models."""
+        for host in list(self.worker_hosts.values()):
+            self.list(host, host.state)
+
+    def drop(self, host: WorkerHost) -> None:
+        """Stop a worker immediately, then remove its row."""
+        host.worker.crashed = True
+        host.link.close()
+        self.worker_hosts.pop(host.worker.id, None)
+        self.unlist(host)
+        host.server.stop()
 
     def change_configuration(self) -> None:
-        """Write the next version, with a route that has its number."""
+        """Write the next configuration version, with a route that contains its number."""
         self.version += 1
-        written = document(self.version)
-        written["Routes"] += [
+        configuration = document(self.version)
+        configuration["Routes"] += [
             _plain_route("safe", "/safe/", "safe"),
             _plain_route("once", "/once/", "unsafe"),
             _plain_route("newest", f"/v{self.version}/", "safe"),
         ]
-        written["Services"].append({"Name": PLAIN_SERVICE, "MaxConns": 100})
-        limit = {"RatePerS": MOST_PER_SECOND, "Burst": MOST_AT_ONCE}
-        written["Tenants"] = [
+        configuration["Services"].append({"Name": PLAIN_SERVICE, "MaxConns": 100})
+        limit = {"RatePerS": MAX_PER_SECOND, "Burst": MAX_BURST}
+        configuration["Tenants"] = [
             {"Name": "steady", "ApiKeys": [STEADY_KEY]},
             {"Name": "changing", "ApiKeys": [version_key(self.version)]},
             {"Name": "limited", "ApiKeys": [LIMITED_KEY], **limit},
         ]
-        self.rows.put("op", "config", written)
+        self.rows.put("op", "config", configuration)
         self.version_at = time.monotonic()
 
     def stop(self) -> None:
-        """End instances, links and servers."""
+        """Stop all instances, links and servers."""
         for node in self.nodes:
             node.process.end()
             node.store_link.close()
-        for place in self.places.values():
-            place.link.close()
-            place.server.stop()
+        for host in self.worker_hosts.values():
+            host.link.close()
+            host.server.stop()
         self._store.stop()
 
 
 def version_key(version: int) -> str:
-    """Return the key that ``version`` alone knows."""
+    """Return the key that is valid in ``version`` only."""
     return f"key-{version}"
 
 
