--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/faults.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/faults.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 from redwingscale_standins.hosted.waiting import until
+from redwingscale_standins.soak.backpressure import announce_leaving, reject
 from redwingscale_standins.soak.faulty_link import FaultyLink
-from redwingscale_standins.soak.notices import announce_leaving, reject
 from redwingscale_standins.soak.world import Node, RateLimitPeriod, WorkerHost, World
 
 # Between the starts of two consecutive faults.
--- a/packages/redwingscale-standins/src/redwingscale_standins/soak/soak.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/soak/soak.py
@@ -9,6 +9,7 @@
 import urllib3
 
 from redwingscale_standins.hosted.documents import MODELS
+from redwingscale_standins.soak.backpressure import check_backpressure
 from redwingscale_standins.soak.caller import Caller
 from redwingscale_standins.soak.checks import (
     check_cuts,
@@ -19,7 +20,6 @@
     check_requests,
 )
 from redwingscale_standins.soak.faults import Faults
-from redwingscale_standins.soak.notices import check_backpressure
 from redwingscale_standins.soak.world import STEADY_KEY, WorkerHost, World
 
 CALLERS_EACH = 4
