--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/callers_client.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/network/callers_client.py
@@ -1,4 +1,4 @@
-"""Sends one streamed request as a caller and times its answer."""
+"""Sends streamed requests as a caller and measures the responses."""
 
 import time
 
@@ -17,7 +17,7 @@
 
 
 class CallersClient:
-    """One pool of connections to the callers' interface of all instances."""
+    """Client of the callers' HTTP API of all instances, with one connection pool."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self._plan = plan
@@ -28,7 +28,7 @@
         }
 
     def send(self, arrival: Arrival) -> RequestResult:
-        """Send one request and read its answer to the end."""
+        """Send the request of ``arrival`` and read the response to its end."""
         started = time.monotonic()
         body = {
             "model": arrival.model,
@@ -46,34 +46,34 @@
                 preload_content=False,
             )
             if response.status != OK:
-                return _refused(response.data, started)
+                return _refused_result(response.data, started)
             return self._read(response, started)
         except urllib3.exceptions.HTTPError:
             return RequestResult("cut", 0.0, (), time.monotonic() - started, False)
 
     def _read(self, response: urllib3.BaseHTTPResponse, started: float) -> RequestResult:
         times: list[float] = []
-        whole = False
+        complete = False
         buffer = b""
         for chunk in response.stream(decode_content=False):
             buffer += chunk
             *events, buffer = buffer.split(EVENT_END)
             now = time.monotonic()
             times += [now for event in events if event.startswith(TOKEN_EVENT)]
-            whole = whole or any(event.startswith(DONE_EVENT) for event in events)
+            complete = complete or any(event.startswith(DONE_EVENT) for event in events)
         response.release_conn()
         total = time.monotonic() - started
         tokens = times[:-1]
         return RequestResult(
-            outcome="whole" if whole else "cut",
+            outcome="whole" if complete else "cut",
             first_token_seconds=tokens[0] - started if tokens else 0.0,
             gaps_seconds=tuple(b - a for a, b in zip(tokens, tokens[1:], strict=False)),
             total_seconds=total,
-            in_time=whole and total <= self._plan.deadline_seconds,
+            in_time=complete and total <= self._plan.deadline_seconds,
         )
 
 
-def _refused(body: bytes, started: float) -> RequestResult:
+def _refused_result(body: bytes, started: float) -> RequestResult:
     try:
         code = msgspec.json.decode(body)["type"].rsplit(":", 1)[-1]
     except (msgspec.DecodeError, KeyError, TypeError):
--- a/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_run.py
+++ b/packages/redwingscale-cli/src/redwingscale_cli/_internal/operations/load_run.py
@@ -1,4 +1,4 @@
-"""Sends arrivals at their times, whatever the answers take (an open loop)."""
+"""Sends requests at their arrival times, however long the responses take (an open loop)."""
 
 import time
 from concurrent.futures import Future, ThreadPoolExecutor
@@ -8,27 +8,27 @@
 from redwingscale_cli._internal.models.load_plan import LoadPlan
 from redwingscale_cli._internal.models.load_result import RequestResult
 from redwingscale_cli._internal.network.callers_client import CallersClient
-from redwingscale_cli._internal.operations.load_arrivals import arrivals
+from redwingscale_cli._internal.operations.load_arrivals import generate_arrivals
 
-MOST_THREADS = 512
+MAX_THREADS = 512
 PROGRESS_SECONDS = 2.0
 
 
 class LoadRun(NamedTuple):
-    """All results and how long the run took, in seconds."""
+    """The results of all requests and the duration of the run."""
 
     results: list[RequestResult]
     seconds: float
 
 
 def run_load(plan: LoadPlan) -> LoadRun:
-    """Send all arrivals of ``plan`` and wait for their answers."""
+    """Send all requests of ``plan`` and wait for their responses."""
     client = CallersClient(plan)
     started = time.monotonic()
     next_progress = PROGRESS_SECONDS
     futures: list[Future[RequestResult]] = []
-    with ThreadPoolExecutor(MOST_THREADS) as pool:
-        for arrival in arrivals(plan):
+    with ThreadPoolExecutor(MAX_THREADS) as pool:
+        for arrival in generate_arrivals(plan):
             elapsed = time.monotonic() - started
             time.sleep(max(0.0, arrival.at_seconds - elapsed))
             futures.append(pool.submit(client.send, arrival))
--- a/packages/redwingscale-common/src/redwingscale_common/utils/logs.py
+++ b/packages/redwingscale-common/src/redwingscale_common/utils/logs.py
@@ -1,11 +1,11 @@
-"""Structured logs: one key=value line for each event, written by loguru."""
+"""Structured logs: loguru writes one line of key=value pairs for each event."""
 
 import sys
 from typing import Any
 
 from loguru import logger
 
-from redwingscale_common.utils.line_writer import flusher, standard_output
+from redwingscale_common.utils.line_writer import stdout_flush, stdout_writer
 
 _FORMAT = (
     "time={time:YYYY-MM-DDTHH:mm:ss.SSSZZ} level={level.name} event={message}"
@@ -14,17 +14,17 @@
 
 
 def configure_logs(level: str, **context: str) -> None:
-    """Send events of ``level`` and above to standard error, each with ``context``."""
+    """Write events of ``level`` and above to standard error, each with ``context``."""
     logger.remove()
     logger.configure(extra={"context": _pairs(context), "fields": ""})
     logger.add(sys.stderr, format=_FORMAT, level=level.upper(), backtrace=False, diagnose=False)
 
 
 def log_to_stdout(level: str, **context: str) -> None:
-    """Send events to standard output as `configure_logs` does to standard error, never blocking."""
+    """Like `configure_logs`, but write to standard output and never block."""
     logger.remove()
     logger.configure(extra={"context": _pairs(context), "fields": ""})
-    writer = standard_output()
+    writer = stdout_writer()
     routine = logger.level("INFO").no
 
     def sink(message: Any) -> None:
@@ -34,8 +34,8 @@
 
 
 def flush_logs(seconds: float = 1.0) -> None:
-    """Wait until what was logged to standard output is written."""
-    flusher()(seconds)
+    """Wait until all events logged to standard output are written, at most ``seconds``."""
+    stdout_flush()(seconds)
 
 
 def log_event(event: str, *, level: str = "INFO", **fields: object) -> None:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/configuration_api.py
@@ -1,4 +1,4 @@
-"""The operators' calls that read and change the configuration."""
+"""Operators' API calls that read and change the configuration."""
 
 from typing import Any
 
@@ -21,14 +21,14 @@
 from redwingscale_daemon._internal.membership.members import Members
 from redwingscale_daemon._internal.upstreams.directory import Directory
 
-BODY_LIMIT = 16 << 20
+MAX_BODY_BYTES = 16 << 20
 CONFLICT = 409
-FINDINGS = 422
+UNPROCESSABLE = 422
 NOT_FOUND = 404
 
 
 class ApplyBody(msgspec.Struct):
-    """A text to put in force in place of ``base_version``."""
+    """A request to replace version ``base_version`` of the configuration by ``text``."""
 
     text: str
     base_version: int
@@ -36,7 +36,7 @@
 
 
 class RollbackBody(msgspec.Struct):
-    """An old ``version`` whose text is to become a new version."""
+    """A request to apply the text of an earlier ``version`` as a new version."""
 
     version: int
     base_version: int
@@ -44,7 +44,7 @@
 
 
 class ConfigurationApi:
-    """Answers everything under ``/configuration``."""
+    """Handles every request under ``/configuration``."""
 
     def __init__(
         self,
@@ -61,7 +61,10 @@
         self._directory = directory
 
     def dispatch(self, method: str, segments: tuple[str, ...]) -> bytes | None:
-        """Answer one call; None when there is no such address. Raise `PlatformError`."""
+        """Return the body of the response, None if no call has this path.
+
+        Raises `PlatformError` if the configuration store cannot be read or written.
+        """
         match method, segments:
             case "GET", ():
                 return self._show()
@@ -72,10 +75,10 @@
             case "GET", ("texts", digest):
                 return json_response({"text": self._store.text(digest)})
             case "POST", ():
-                body = msgspec.convert(read_json(BODY_LIMIT), ApplyBody)
+                body = msgspec.convert(read_json(MAX_BODY_BYTES), ApplyBody)
                 return self._apply(body.text, body.base_version, body.author)
             case "POST", ("rollback",):
-                return self._roll_back(msgspec.convert(read_json(BODY_LIMIT), RollbackBody))
+                return self._roll_back(msgspec.convert(read_json(MAX_BODY_BYTES), RollbackBody))
         return None
 
     def _show(self) -> bytes:
@@ -96,13 +99,13 @@
     def _apply(self, text: str, base_version: int, author: str) -> bytes:
         findings = check_text("configuration", text)
         if findings:
-            return _refused(findings)
+            return _findings_response(findings)
         fit = compute_memory_fit(
             load_accepted_text("configuration", text), self._directory.engines()
         )
         problem = fit.problem()
         if problem and fit.conclusive:
-            return _refused([Finding("$.models", problem)], fit)
+            return _findings_response([Finding("$.models", problem)], fit)
         match self._store.apply(text, base_version, author):
             case Applied(pointer=pointer, repeated=repeated):
                 self._current.put_in_force(VersionedText(pointer, text))
@@ -115,10 +118,10 @@
                 return json_response(self._conflict(text, base_version, lost), CONFLICT)
 
     def _conflict(self, text: str, base_version: int, lost: ApplyConflict) -> dict[str, Any]:
-        """Return the version in force and both differences, so that nothing is lost.
+        """Return the version in force and two differences, so that no operator's edit is lost.
 
-        ``difference`` leads from the version in force to the refused text,
-        ``theirs`` from the refused text's base to the version in force.
+        ``difference`` lists the changes from the version in force to the refused text,
+        ``theirs`` the changes from the refused text's base version to the version in force.
         """
         current = lost.current or Pointer(0, "", "", "")
         in_force = self._text_of(lost.current)
@@ -136,11 +139,11 @@
         return self._store.text(pointer.digest) if pointer else ""
 
 
-def _refused(findings: list[Finding], fit: MemoryFit | None = None) -> bytes:
+def _findings_response(findings: list[Finding], fit: MemoryFit | None = None) -> bytes:
     body: dict[str, Any] = {"findings": [f._asdict() for f in findings]}
     if fit is not None:
         body["memory"] = fit._asdict()
-    return json_response(body, FINDINGS)
+    return json_response(body, UNPROCESSABLE)
 
 
 def _warnings(problem: str, fit: MemoryFit) -> list[str]:
--- a/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/operators_app.py
+++ b/packages/redwingscale-daemon/src/redwingscale_daemon/_internal/operators/operators_app.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface, on its own port with its own token."""
+"""The operators' HTTP API, which has its own port and its own token."""
 
 from typing import Any
 
@@ -15,17 +15,17 @@
 from redwingscale_daemon._internal.placement.move_history import MoveHistory
 from redwingscale_daemon._internal.telemetry.metrics import Metrics
 
-BODY_LIMIT = 16 << 20
+MAX_BODY_BYTES = 16 << 20
 
 
 class DrainBody(msgspec.Struct):
-    """The instance that is to end."""
+    """A request to drain ``instance``."""
 
     instance: str
 
 
 class OperatorsApp:
-    """``/status``, ``/configuration``, ``/models``, ``/upstreams``, ``/metrics``."""
+    """Serves the operators' HTTP API; every path but ``/metrics`` needs the operators' token."""
 
     def __init__(
         self,
@@ -47,6 +47,7 @@
 
     @cherrypy.expose
     def default(self, *segments: str, **query: Any) -> bytes:
+        """Handle a request for the path ``segments``; CherryPy calls it for every path."""
         if segments == ("metrics",):
             cherrypy.response.headers["Content-Type"] = "text/plain; version=0.0.4"
             return self._metrics.prometheus_page()
@@ -79,14 +80,14 @@
             case "GET", ("upstreams",):
                 return json_response(self._view.upstreams())
             case method, ("configuration", *rest):
-                answer = self._configuration.dispatch(method, tuple(rest))
-                if answer is not None:
-                    return answer
+                response = self._configuration.dispatch(method, tuple(rest))
+                if response is not None:
+                    return response
             case "POST", ("drain",):
                 return self._drain()
         raise cherrypy.NotFound()
 
     def _drain(self) -> bytes:
-        body = msgspec.convert(read_json(BODY_LIMIT), DrainBody)
+        body = msgspec.convert(read_json(MAX_BODY_BYTES), DrainBody)
         known = self._drains.send(body.instance)
         return json_response({"instance": body.instance, "known": known}, 202 if known else 404)
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/control.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/control.py
@@ -1,4 +1,4 @@
-"""Polls and orders of one instance, with faults, in place of the network."""
+"""Engine control of one instance with injected faults, without a network."""
 
 import random
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class FaultyControl(EngineControl):
-    """Asks the guard where the daemon's own client asks it: before and right at the send."""
+    """Calls the guard where the daemon's own client does: before the call and right at the send."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._on_sent = on_sent
 
     def report(self, engine: EngineMember) -> Report:
-        """Poll, unless a fault strikes."""
+        """Return the report of the engine, unless a fault strikes."""
         fault = self._faults(Point.POLL)
         self._strike(fault, "before")
         process = self._engine_at(engine.url)
@@ -47,11 +47,11 @@
         return report
 
     def raise_fence(self, engine: EngineMember, fence: int) -> None:
-        """Raise the fence, if the engine has one and still runs."""
+        """Raise the fence of the engine, if its process still runs."""
         process = self._engine_at(engine.url)
         if process is None:
             raise UpstreamError(engine.id, "no answer", run=RunState.UNKNOWN)
-        self._refusable(engine, lambda: process.raise_fence(fence))
+        self._call_fenced(engine, lambda: process.raise_fence(fence))
 
     def order(self, engine: EngineMember, order: Order, guard: Guard) -> None:
         """Deliver ``order`` now, later, twice or not at all."""
@@ -66,7 +66,7 @@
             seconds = self._rng.uniform(0, engine.late_order_seconds)
             self._clock.call_later(seconds, lambda: self._deliver_late(engine, order))
         if fault not in (Fault.LATE, Fault.LOST):
-            self._refusable(engine, lambda: self._deliver(engine, order))
+            self._call_fenced(engine, lambda: self._deliver(engine, order))
         self._strike(fault, "after")
         if fault in (Fault.REPLY_LOST, Fault.LATE):
             raise UpstreamError(engine.id, "no reply", run=RunState.UNKNOWN)
@@ -82,7 +82,7 @@
         except StaleFence:
             return
 
-    def _refusable(self, engine: EngineMember, call: Callable[[], None]) -> None:
+    def _call_fenced(self, engine: EngineMember, call: Callable[[], None]) -> None:
         try:
             call()
         except StaleFence as error:
--- a/packages/redwingscale-standins/src/redwingscale_standins/histories/faults.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/histories/faults.py
@@ -1,4 +1,4 @@
-"""Faults that can strike a call of an owner."""
+"""Faults that can be injected into an owner's calls."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class Fault(StrEnum):
-    """What can happen to the call, to its message or to its sender."""
+    """A fault of the call, of its message or of its sender."""
 
     REFUSED = "refused"
     LOST = "lost"
@@ -29,30 +29,30 @@
     KILLED_AFTER = "sender killed after"
 
 
-_SENDER = [
+_SENDER_FAULTS = [
     Fault.PAUSED_BEFORE,
     Fault.PAUSED_AFTER,
     Fault.KILLED_BEFORE,
     Fault.KILLED_AFTER,
 ]
 FAULTS_BY_POINT: dict[Point, list[Fault]] = {
-    Point.READ: [Fault.REFUSED, *_SENDER],
-    Point.COMMIT: [Fault.REFUSED, Fault.LATE, Fault.REPLY_LOST, *_SENDER],
-    Point.POLL: [Fault.REFUSED, *_SENDER],
+    Point.READ: [Fault.REFUSED, *_SENDER_FAULTS],
+    Point.COMMIT: [Fault.REFUSED, Fault.LATE, Fault.REPLY_LOST, *_SENDER_FAULTS],
+    Point.POLL: [Fault.REFUSED, *_SENDER_FAULTS],
     Point.ORDER: [
         Fault.REFUSED,
         Fault.LOST,
         Fault.LATE,
         Fault.DOUBLED,
         Fault.REPLY_LOST,
-        *_SENDER,
+        *_SENDER_FAULTS,
     ],
     Point.LOAD: [Fault.FAILED],
 }
 
-# Returns the fault that strikes the next call at a point, None for none.
+# Returns the fault of the next call at a point, or None.
 FaultSource = Callable[[Point], Fault | None]
 
 
 class Killed(BaseException):
-    """The instance that made the call is gone; nothing of it may go on."""
+    """The calling instance was killed; a BaseException, so that none of its code continues."""
--- a/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
+++ b/packages/redwingscale-standins/src/redwingscale_standins/rate_limits/model.py
@@ -1,4 +1,4 @@
-"""Instances in simulated time in front of one upstream that has a rate limit for a while."""
+"""Simulates instances that send to one upstream with a temporary rate limit."""
 
 import random
 from collections import defaultdict, deque
@@ -13,29 +13,32 @@
 from redwingscale_standins.rate_limits.rule import NOTICE_SECONDS, WINDOW_SECONDS, most_allowed
 
 STEP_SECONDS = 0.05
-NEWS_STEPS = 5
-# After which instances take an order giver for lost.
+UPDATE_STEPS = 5
+# Silence of the leader after which instances consider it lost.
 SILENT_SECONDS = 0.5
 ANSWER_STEPS = 2
 UPSTREAM = "u"
-PATIENCE_SECONDS = 2.0
-# An instance is told by an answer that it has passed on this long ago.
-TOLD_SECONDS = 0.5
+MAX_WAIT_SECONDS = 2.0
+# An instance counts as informed this long after an answer announced the limit to it.
+INFORMED_SECONDS = 0.5
 
 
 class History(NamedTuple):
-    """What happens: ``asked`` requests a second in all, news that are lost, givers that end.
+    """Course of one simulation: load, rate limit, lost messages and loss of the leader.
 
-    Before the upstream names its rate ``asked_before`` come.
+    All instances together receive ``offered`` requests a second, and ``offered_before``
+    until the upstream announces its limit at ``named_at``. The limit ends at ``ends_at``,
+    the simulation at ``until``. The leader is lost at ``leader_ends_at``; its successor
+    begins ``next_leader_after`` seconds later.
     """
 
     instances: int
     rate: float
-    asked: float
-    asked_before: float = 8.0
-    lost_part: float = 0.0
-    giver_ends_at: float = float("inf")
-    next_giver_after: float = 3.0
+    offered: float
+    offered_before: float = 8.0
+    lost_fraction: float = 0.0
+    leader_ends_at: float = float("inf")
+    next_leader_after: float = 3.0
     named_at: float = 2.0
     ends_at: float = 14.0
     until: float = 16.0
@@ -43,26 +46,26 @@
 
 
 class Sent(NamedTuple):
-    """One request that has come to the upstream."""
+    """One request that reached the upstream."""
 
     at: float
     instance: int
 
 
 class _Waiting(NamedTuple):
-    """A request that waits, and what counts it meanwhile."""
+    """A waiting request, and the context that counts it as waiting."""
 
     since: float
     counted: AbstractContextManager[None]
 
 
 class RateModel:
-    """Plays one history; what was sent is in ``sent``."""
+    """Simulates one history; ``sent`` lists the requests that reached the upstream."""
 
     def __init__(self, history: History) -> None:
         self.history = history
         self.now = 0.0
-        # Not for secrets.
+        # Not used for cryptography.
         self.random = random.Random(history.seed)
         self.rates = [
             RateLimits(f"i{n}", lambda: history.instances, clock=lambda: self.now)
@@ -71,32 +74,34 @@
         self.issuer = PermitIssuer(clock=lambda: self.now)
         self._waiting: dict[int, deque[_Waiting]] = defaultdict(deque)
         self.sent: list[Sent] = []
-        # Instances that have told the order giver all that they know.
-        self._introduced: set[int] = set()
-        # Instances that an answer has told of another limit: the order giver hears at once.
-        self._learned: set[int] = set()
-        self.told_at: dict[int, float] = {}
-        # The step at which each comes, the instance, and when its request was sent.
+        # Instances that have sent a full snapshot to the current leader.
+        self._sent_snapshot: set[int] = set()
+        # Instances where an answer changed the limit: they update the leader at once.
+        self._changed: set[int] = set()
+        self.informed_at: dict[int, float] = {}
+        # Answers in flight: the step of arrival, the instance and the send time of the request.
         self._answers: list[tuple[int, int, float]] = []
 
     def run(self) -> "RateModel":
-        """Play it to its end."""
+        """Run the simulation to its end."""
         for step in range(round(self.history.until / STEP_SECONDS)):
             self.now = step * STEP_SECONDS
-            self._ask(step)
-            self._pass_on()
-            if step % NEWS_STEPS == 0:
-                self._tell(range(self.history.instances), regular=True)
-            elif self._learned:
-                self._tell(self._learned, regular=False)
-            self._learned = set()
-            self._answer(step)
+            self._arrive(step)
+            self._gossip()
+            if step % UPDATE_STEPS == 0:
+                self._exchange_updates(range(self.history.instances), periodic=True)
+            elif self._changed:
+                self._exchange_updates(self._changed, periodic=False)
+            self._changed = set()
+            self._receive_answers(step)
         return self
 
-    def _ask(self, step: int) -> None:
-        calm = self.now < self.history.named_at
-        asked = (self.history.asked_before if calm else self.history.asked) * STEP_SECONDS
-        for _ in range(int(asked) + (self.random.random() < asked % 1)):
+    def _arrive(self, step: int) -> None:
+        unlimited = self.now < self.history.named_at
+        offered = (
+            self.history.offered_before if unlimited else self.history.offered
+        ) * STEP_SECONDS
+        for _ in range(int(offered) + (self.random.random() < offered % 1)):
             instance = self.random.randrange(self.history.instances)
             waiting = self.rates[instance].waiting([UPSTREAM])
             waiting.__enter__()
@@ -111,67 +116,67 @@
             self.sent.append(Sent(self.now, instance))
             self._answers.append((step + ANSWER_STEPS, instance, self.now))
             return True
-        return self.now - first.since > PATIENCE_SECONDS
+        return self.now - first.since > MAX_WAIT_SECONDS
 
-    def _answer(self, step: int) -> None:
+    def _receive_answers(self, step: int) -> None:
         due = [one for one in self._answers if one[0] == step]
         for _, instance, sent_at in due:
             before = self.rates[instance].per_second(UPSTREAM)
             if self.history.named_at <= self.now < self.history.ends_at:
-                self.told_at.setdefault(instance, self.now)
+                self.informed_at.setdefault(instance, self.now)
                 self.rates[instance].note_limit(UPSTREAM, self.history.rate, "answer")
             else:
                 self.rates[instance].note_no_limit(UPSTREAM, sent_at, "answer")
             if self.rates[instance].per_second(UPSTREAM) != before:
-                self._learned.add(instance)
+                self._changed.add(instance)
 
-    def _pass_on(self) -> None:
-        """Let instances tell their peers what they have learned, while nobody gives orders."""
-        ended = self.history.giver_ends_at
-        if self.now < ended + SILENT_SECONDS or self.now >= ended + self.history.next_giver_after:
+    def _gossip(self) -> None:
+        """Send changed limits to random peers, while no instance leads."""
+        ended = self.history.leader_ends_at
+        if self.now < ended + SILENT_SECONDS or self.now >= ended + self.history.next_leader_after:
             return
         changed = [rates.drain_changed() for rates in self.rates]
         for entries in filter(None, changed):
             for peer in self.random.sample(self.rates, min(FANOUT, len(self.rates))):
-                if self.random.random() >= self.history.lost_part:
+                if self.random.random() >= self.history.lost_fraction:
                     peer.receive_from_peer(entries)
 
-    def _tell(self, instances: Iterable[int], *, regular: bool) -> None:
-        """Let ``instances`` tell the order giver, and the order giver all."""
-        ended = self.history.giver_ends_at
-        if ended <= self.now < ended + self.history.next_giver_after:
+    def _exchange_updates(self, instances: Iterable[int], *, periodic: bool) -> None:
+        """Send updates from ``instances`` to the leader, and from the leader to all instances."""
+        ended = self.history.leader_ends_at
+        if ended <= self.now < ended + self.history.next_leader_after:
             self.issuer.begin()
-            self._introduced = set()
+            self._sent_snapshot = set()
             return
         for number in instances:
             rates = self.rates[number]
-            if self.random.random() >= self.history.lost_part:
-                introduce = number not in self._introduced
-                self.issuer.receive(f"i{number}", rates.updates(full=introduce))
-                self._introduced.add(number)
-        issued = self.issuer.issue(all_limits=regular)
+            if self.random.random() >= self.history.lost_fraction:
+                full = number not in self._sent_snapshot
+                self.issuer.receive(f"i{number}", rates.updates(full=full))
+                self._sent_snapshot.add(number)
+        issued = self.issuer.issue(all_limits=periodic)
         for rates in self.rates:
-            if self.random.random() >= self.history.lost_part:
+            if self.random.random() >= self.history.lost_fraction:
                 rates.receive(issued)
 
     def most_in_window(self) -> int:
-        """Return the most that came in one window from instances that had been told by its end."""
+        """Return the most requests in one window from instances informed by its end."""
         ends = [
             one.at
             for one in self.sent
             if self.history.named_at + NOTICE_SECONDS <= one.at <= self.history.ends_at
         ]
-        return max(map(self._told_in_window, ends), default=0)
+        return max(map(self._informed_in_window, ends), default=0)
 
-    def _told_in_window(self, end: float) -> int:
-        told = {key for key, at in self.told_at.items() if at <= end - TOLD_SECONDS}
+    def _informed_in_window(self, end: float) -> int:
+        informed = {key for key, at in self.informed_at.items() if at <= end - INFORMED_SECONDS}
         window = [one for one in self.sent if end - WINDOW_SECONDS < one.at <= end]
-        return sum(one.instance in told for one in window)
+        return sum(one.instance in informed for one in window)
 
     def allowed(self) -> float:
-        """Return how many the rule lets come in a window."""
+        """Return how many requests the rule allows in one window."""
         return most_allowed(self.history.rate)
 
     def sent_between(self, begin: float, end: float) -> int:
-        """Return how many came in a span."""
+        """Return how many requests reached the upstream from ``begin`` until before ``end``."""
         return sum(begin <= one.at < end for one in self.sent)
